--- a/orchidhatch/faults/seeded_defects.py
+++ b/orchidhatch/faults/seeded_defects.py
@@ -22,7 +22,7 @@
 
 
 def answer_twice() -> None:
-    from orchidhatch.proxy.clients import Reply
+    from orchidhatch.proxy.reply import Reply
 
     send, count = Reply.send, 0
 
@@ -177,7 +177,7 @@
 
 def serve_departed() -> None:
     """A client's end is not noticed."""
-    from orchidhatch.proxy.clients import ClientConnection
+    from orchidhatch.proxy.client_connection import ClientConnection
 
     ClientConnection.eof_received = lambda self: True
     ClientConnection.end_if_left = lambda self: False
@@ -201,9 +201,9 @@
 
 def wait_for_odd_clients() -> None:
     """Who sends no whole command is never ended."""
-    from orchidhatch.proxy.clients import ClientConnection
+    from orchidhatch.proxy.client_connection import ClientConnection
 
-    ClientConnection.overdue = lambda self, now_s: False
+    ClientConnection.is_command_overdue = lambda self, now_s: False
 
 
 def start_at_full_speed() -> None:
--- a/orchidhatch/proxy/active_configuration.py
+++ b/orchidhatch/proxy/active_configuration.py
@@ -2,7 +2,7 @@
 
 from dataclasses import replace
 
-from orchidhatch.proxy.clients import CommandParser
+from orchidhatch.proxy.command_parser import CommandParser
 from orchidhatch.proxy.config import Config
 
 
--- a/orchidhatch/proxy/metrics_page.py
+++ b/orchidhatch/proxy/metrics_page.py
@@ -74,7 +74,9 @@
         return self.stats() + "".join(parts) + self.guard.metrics_text()
 
     def _ends(self) -> str:
-        closes = {f'reason="{reason.value}"': count for reason, count in sorted(self.clients.closes.items())}
+        closes = {
+            f'reason="{reason.value}"': count for reason, count in sorted(self.clients.metrics.closes.items())
+        }
         results = {f'result="{name}"': count for name, count in sorted(self.requests.results.items())}
         retries = {f'after="{name}"': count for name, count in sorted(self.requests.retries.items())}
         local = {f'error="{name}"': count for name, count in sorted(self.backends.local_failures.items())}
@@ -130,7 +132,12 @@
                     "Commands that are not answered.",
                     {"": self.requests.held_bytes},
                 ),
-                page("unsent_bytes", "gauge", "What waits for slow clients.", {"": self.clients.unsent}),
+                page(
+                    "unsent_bytes",
+                    "gauge",
+                    "What waits for slow clients.",
+                    {"": self.clients.backlog.unsent_bytes},
+                ),
             ]
         )
 
@@ -161,7 +168,10 @@
         census = self.dispatcher.ask(MetricsRequest())
         queued_s = {f'reason="{why}"': us / 1e6 for why, us in sorted(self.queued_us.items())}
         unserved = {f'reason="{why}"': count for why, count in census.ended}
-        malformed = {'what="command"': self.clients.malformed, 'what="stream"': self.clients.unreadable}
+        malformed = {
+            'what="command"': self.clients.metrics.malformed_commands,
+            'what="stream"': self.clients.metrics.malformed_streams,
+        }
         dropped = {'why="malformed"': self.peers.malformed, 'why="stranger"': self.peers.strange}
         return queue_metrics(self.queues.lines(census)) + "".join(
             [
--- a/orchidhatch/proxy/operator_drain.py
+++ b/orchidhatch/proxy/operator_drain.py
@@ -45,13 +45,13 @@
         """Have the decision core reject every new request, or admit them again."""
         self.post(SuspendAdmission(is_suspended))
         is_ending = self.process.state is ProcessState.ENDING
-        self.clients.welcome = not is_suspended and self.task is None and not is_ending
+        self.clients.accepts_clients = not is_suspended and self.task is None and not is_ending
 
     def begin(self) -> None:
         """Start to drain, unless a drain is under way or the process is ending."""
         if self.task is None and self.process.state is not ProcessState.ENDING:
             log.info("takes no new clients, by call, at %d us", now_us())
-            self.clients.welcome = False
+            self.clients.accepts_clients = False
             self.task = asyncio.get_running_loop().create_task(self._drain())
 
     async def _drain(self) -> None:
@@ -59,7 +59,7 @@
         loop = asyncio.get_running_loop()
         called_s = loop.time()
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(self.clients.said_no.wait(), FRONT_POLL_S)
+            await asyncio.wait_for(self.clients.ping_rejected.wait(), FRONT_POLL_S)
         await asyncio.sleep(LATE_CONNECTIONS_S)
         self.clients.drain()
         await asyncio.sleep(called_s + LAST_READ_S - loop.time())
@@ -73,7 +73,7 @@
             log.info("takes clients again, by call, at %d us", now_us())
             self.task.cancel()
             self.task = None
-            self.clients.take_again()
+            self.clients.undo_drain()
 
     def close(self) -> None:
         """Cancel a drain that is under way."""
--- a/orchidhatch/proxy/process_handover.py
+++ b/orchidhatch/proxy/process_handover.py
@@ -118,7 +118,7 @@
 
     def set_peer_socket_counts(self, clients: int, backends: int) -> None:
         """Count the other process's sockets against the limits of both."""
-        self.clients.others = clients
+        self.clients.handover_peer_connections = clients
         self.backends.others = backends
 
     def handover_peer_sent(self, event: Event) -> None:
--- a/orchidhatch/proxy/process_lifecycle.py
+++ b/orchidhatch/proxy/process_lifecycle.py
@@ -72,7 +72,7 @@
         time_left_us = min(MOST_DEADLINE_US, longest_us) + KILL_AFTER_US
         self.requests.last_answer_us = now_us() + time_left_us - ANSWER_MARGIN_US
         if not was_replaced:
-            self.clients.welcome = False
+            self.clients.accepts_clients = False
             await asyncio.sleep(SETTLE_S)
         self.clients.read_no_more()
         while not await self.all_clients_left():
@@ -88,7 +88,7 @@
 
     async def all_clients_left(self) -> bool:
         """Whether all clients have left, those included that only the kernel has accepted yet."""
-        has_left = await self.clients.left(DRAIN_LOOK_S)
+        has_left = await self.clients.wait_closed(DRAIN_LOOK_S)
         for _ in range(TURNS_TO_ACCEPT):
             await asyncio.sleep(0)
         return has_left and not self.clients.connections
--- a/orchidhatch/proxy/process_limits.py
+++ b/orchidhatch/proxy/process_limits.py
@@ -4,9 +4,9 @@
 from dataclasses import replace
 
 from orchidhatch.gateway.settings import Settings
-from orchidhatch.proxy.clients import PROGRAM_MB
 from orchidhatch.proxy.config import Config
 from orchidhatch.proxy.cpu_accounting import descriptors_allowed
+from orchidhatch.proxy.send_backlog import PROGRAM_MEMORY_MB
 
 log = logging.getLogger(__name__)
 
@@ -29,6 +29,6 @@
 
 def limited_settings(config: Config) -> Settings:
     """The decision core's settings with the bounds on open requests and on their bytes."""
-    spare_bytes = (config.memory_mb - PROGRAM_MB) * (1 << 20)
+    spare_bytes = (config.memory_mb - PROGRAM_MEMORY_MB) * (1 << 20)
     max_open_bytes = max(MIN_COMMAND_BYTES, spare_bytes // COMMAND_MEMORY_DIVISOR)
     return replace(config.settings, max_open_requests=config.max_open, max_open_bytes=max_open_bytes)
--- a/orchidhatch/proxy/request_exchange.py
+++ b/orchidhatch/proxy/request_exchange.py
@@ -4,7 +4,8 @@
 
 from orchidhatch.gateway.attempts import AttemptResult
 from orchidhatch.proxy.attempt import Attempt
-from orchidhatch.proxy.clients import Command, Reply
+from orchidhatch.proxy.command_parser import Command
+from orchidhatch.proxy.reply import Reply
 
 
 class RequestExchange:
--- a/orchidhatch/proxy/request_lifecycle.py
+++ b/orchidhatch/proxy/request_lifecycle.py
@@ -19,13 +19,16 @@
 from orchidhatch.proxy.active_configuration import ActiveConfiguration
 from orchidhatch.proxy.attempt import Attempt
 from orchidhatch.proxy.backends import Backends
-from orchidhatch.proxy.clients import FAILED, STALL_S, Clients, CommandError, Reply
+from orchidhatch.proxy.client_sweeper import SEND_STALL_TIMEOUT_S
+from orchidhatch.proxy.clients import Clients
 from orchidhatch.proxy.clock import now_us
+from orchidhatch.proxy.command_parser import CommandError
 from orchidhatch.proxy.config import MOST_US
 from orchidhatch.proxy.guards import Guard, Refusal
 from orchidhatch.proxy.loop_watch import LoopWatch
 from orchidhatch.proxy.metrics import Ended, Figures
 from orchidhatch.proxy.policy_guard import Watchfulness
+from orchidhatch.proxy.reply import FAILED_ANSWER, Reply
 from orchidhatch.proxy.request_exchange import RequestExchange
 from orchidhatch.proxy.wait_queues import Waits
 
@@ -88,12 +91,12 @@
 
     # --- from the client ---
 
-    def take(self, words: list[bytes], reply: Reply) -> None:
+    def take(self, arguments: list[bytes], reply: Reply) -> None:
         """Start a request from a client's command; raises CommandError if the command is wrong."""
         self.loop_watch.touch()
         self.policy_guard.look()
         most_us = MOST_US if self.last_answer_us is None else max(0, self.last_answer_us - now_us())
-        command = self.active.parser.parse(words, ANSWER_MARGIN_US, most_us)
+        command = self.active.parser.parse(arguments, ANSWER_MARGIN_US, most_us)
         request = command.request
         if request.id in self.open or request.id in self.ended:
             self.figures.note(self.active.class_names[request.class_index], Ended.ERRORED)
@@ -107,7 +110,7 @@
         )
         delay_s = (request.time_left_us + BACKSTOP_US) / 1e6
         exchange.timer = self.loop.call_later(delay_s, self.overdue, request.id)
-        reply.id = request.id
+        reply.request_id = request.id
         self.open[request.id] = exchange
         self.held_bytes += request.size_bytes
         self.tally["asked"] += 1
@@ -122,10 +125,15 @@
 
     def client_gone(self, reply: Reply) -> None:
         """End the request of a client that has disconnected."""
-        if reply.id is not None and (exchange := self.settle(reply.id)):
-            self.post(ClientGone(reply.id))
-            if exchange.stream:
-                exchange.stream.cancel()
+        request_id = reply.request_id
+        if request_id is None:
+            return
+        exchange = self.settle(request_id)
+        if exchange is None:
+            return
+        self.post(ClientGone(request_id))
+        if exchange.stream:
+            exchange.stream.cancel()
 
     def overdue(self, request_id: str) -> None:
         """Answer a request that the decision core left without an answer in time."""
@@ -136,7 +144,7 @@
     def fail_over_fault(self, request_id: str) -> None:
         """Fail a request over an internal fault, and have the core forget it."""
         if request_id in self.open:
-            self.answer(request_id, FAILED, Ended.ERRORED)
+            self.answer(request_id, FAILED_ANSWER, Ended.ERRORED)
             self.post(ClientGone(request_id))
 
     # --- attempts ---
@@ -276,17 +284,17 @@
         attempt.keep_waiting()
         exchange.stream = attempt
         exchange.timer.cancel()
-        exchange.timer = self.loop.call_later(STALL_S, self._check_stall, attempt.request_id)
+        exchange.timer = self.loop.call_later(SEND_STALL_TIMEOUT_S, self._check_stall, attempt.request_id)
         took_us = now_us() - attempt.sent_us
         self.post(StreamStarted(attempt.request_id, attempt.number, attempt.server, took_us))
         exchange.reply.begin(b"$%d\r\n" % size, attempt)
-        return exchange.reply.more
+        return exchange.reply.append
 
     def _buffer_value(
         self, exchange: RequestExchange, attempt: Attempt, size: int
     ) -> Callable[[bytes], None] | None:
         """Keep a long value until it is whole, where there is room for it; what takes its pieces."""
-        if self.buffered_bytes + size > self.clients.pool:
+        if self.buffered_bytes + size > self.clients.backlog.limit_bytes:
             log.warning("no room for the long value of request %s", attempt.request_id)
             return None
         exchange.buffer = buffer = bytearray()
@@ -310,11 +318,13 @@
         exchange = self.open.get(request_id)
         if exchange is None:
             return
-        left_s = exchange.reply.moved_s + STALL_S - self.clients.clock()
+        left_s = exchange.reply.progress_s + SEND_STALL_TIMEOUT_S - self.clients.clock()
         if left_s > 0:
             exchange.timer = self.loop.call_later(left_s, self._check_stall, request_id)
         else:
-            log.warning("cut the value of request %s, which did not move for %.0f s", request_id, STALL_S)
+            log.warning(
+                "cut the value of request %s, which did not move for %.0f s", request_id, SEND_STALL_TIMEOUT_S
+            )
             exchange.stream.cancel()
 
     def _end_stream(self, request_id: str, is_whole: bool) -> None:
@@ -334,7 +344,7 @@
 
     def fail(self, action: Fail) -> None:
         """Answer that the request failed."""
-        self.answer(action.id, FAILED, Ended.ERRORED)
+        self.answer(action.id, FAILED_ANSWER, Ended.ERRORED)
 
     def answer(self, request_id: str, data: bytes, how: Ended) -> None:
         """Send the whole answer, unless the request has had one."""
--- a/orchidhatch/proxy/server.py
+++ b/orchidhatch/proxy/server.py
@@ -109,7 +109,7 @@
         self.clients = Clients(
             max_clients, self.requests.take, self.requests.client_gone, self.account, self.guard
         )
-        self.clients.set_pool(config.memory_mb)
+        self.clients.backlog.set_memory(config.memory_mb)
         self.peers = Peers(config.peers, config.settings.gateway_index, self.dispatcher.post, self.account)
         self.peers.mark = config.settings.policy_mark
 
@@ -265,7 +265,7 @@
         """Accept clients at the address. Raises OSError."""
         with closed_on_error(stream_socket(address)) as listening:
             return await self.loop.create_server(
-                self.clients.connection, sock=listening, backlog=LISTEN_BACKLOG
+                self.clients.create_connection, sock=listening, backlog=LISTEN_BACKLOG
             )
 
     async def _serve_inherited(self, descriptor: int) -> None:
@@ -274,7 +274,7 @@
         listening = socket.socket(fileno=descriptor)
         listening.setblocking(False)
         self.server = await self.loop.create_server(
-            self.clients.connection, sock=listening, backlog=LISTEN_BACKLOG
+            self.clients.create_connection, sock=listening, backlog=LISTEN_BACKLOG
         )
         await self.handover.begin_serving(has_state, self._open_peers)
 
--- a/orchidhatch/proxy/work_queues.py
+++ b/orchidhatch/proxy/work_queues.py
@@ -3,7 +3,7 @@
 from orchidhatch.gateway.actions import MetricsSnapshot
 from orchidhatch.gateway.peer_outbox import MESSAGES_LIMIT
 from orchidhatch.proxy.backends import Backends
-from orchidhatch.proxy.clients import PATIENCE_S, SHED_POOLS, Clients
+from orchidhatch.proxy.clients import Clients
 from orchidhatch.proxy.clock import now_us
 from orchidhatch.proxy.log_writer import LogWriter
 from orchidhatch.proxy.management import Management
@@ -49,16 +49,32 @@
 
     def _unread_clients(self) -> Line:
         clients = self.clients
-        unread = [connection for connection in clients.connections if not connection.reading]
-        oldest_us = max((clients.since_us(connection.paused_s) for connection in unread), default=0)
-        return Line("unread", clients.most, len(unread), oldest_us, clients.crowded_out, clients.unread_waits)
+        metrics = clients.metrics
+        unread = [connection for connection in clients.connections if not connection.is_reading]
+        oldest_us = max((clients.elapsed_us(connection.read_paused_s) for connection in unread), default=0)
+        return Line(
+            "unread",
+            clients.max_connections,
+            len(unread),
+            oldest_us,
+            metrics.evictions,
+            metrics.unread_waits,
+        )
 
     def _partial_commands(self) -> Line:
         clients = self.clients
+        metrics = clients.metrics
         partial = [connection for connection in clients.connections if connection.reader.buffer]
-        due = [connection.due_s for connection in partial if connection.due_s]
-        oldest_us = max((clients.since_us(due_s - PATIENCE_S) for due_s in due), default=0)
-        return Line("partial", clients.most, len(partial), oldest_us, clients.slow, clients.partial_waits)
+        starts_s = [connection.awaiting_since_s() for connection in partial]
+        waits_us = [clients.elapsed_us(start_s) for start_s in starts_s if start_s is not None]
+        return Line(
+            "partial",
+            clients.max_connections,
+            len(partial),
+            max(waits_us, default=0),
+            metrics.command_timeouts,
+            metrics.partial_waits,
+        )
 
     def _queued_requests(self, census: MetricsSnapshot) -> Line:
         rejected = dict(census.ended).get("crowded", 0)
@@ -94,10 +110,18 @@
 
     def _unsent_bytes(self) -> Line:
         clients = self.clients
-        unsent = [connection for connection in clients.connections if connection.unsent]
-        oldest_us = max((clients.since_us(connection.moved_s) for connection in unsent), default=0)
-        bound = SHED_POOLS * clients.pool
-        return Line("unsent_bytes", bound, clients.unsent, oldest_us, clients.cut, clients.unsent_waits)
+        backlog = clients.backlog
+        metrics = clients.metrics
+        unsent = [connection for connection in clients.connections if connection.unsent_bytes]
+        oldest_us = max((clients.elapsed_us(connection.progress_s) for connection in unsent), default=0)
+        return Line(
+            "unsent_bytes",
+            backlog.shed_limit_bytes(),
+            backlog.unsent_bytes,
+            oldest_us,
+            metrics.slow_readers,
+            metrics.unsent_waits,
+        )
 
     def _peer_messages(self, census: MetricsSnapshot) -> Line:
         peers = self.peers
--- a/tests/proxy/test_clients.py
+++ b/tests/proxy/test_clients.py
@@ -7,7 +7,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidhatch.proxy.clients import CommandError, CommandParser, CommandReader, ProtocolError
+from orchidhatch.proxy.command_parser import CommandError, CommandParser
+from orchidhatch.proxy.command_reader import CommandReader
+from orchidhatch.proxy.resp import ProtocolError
 from tests.sockets import CONFIG, CUSTOMER, Backend, Client, front_door, query, resp, run, value
 
 PARSER = CommandParser(CONFIG)
@@ -101,7 +103,7 @@
 
 async def test_clients_are_bounded_by_closing_the_one_idle_longest() -> None:
     async with front_door(Backend(lambda words: None)) as (gateway, address):
-        gateway.clients.most = 2
+        gateway.clients.max_connections = 2
         first, second = await Client.open(address), await Client.open(address)
         assert await first.ask(resp("PING")) == b"PONG"
         assert await second.ask(resp("PING")) == b"PONG"
@@ -186,7 +188,7 @@
 
 async def test_room_is_made_at_the_cost_of_who_was_served_not_of_who_is_yet_to_ask() -> None:
     async with front_door(Backend()) as (gateway, address):
-        gateway.clients.most = 2
+        gateway.clients.max_connections = 2
         late = await Client.open(address)
         assert await late.ask(resp("PING")) == b"PONG"
         served = await Client.open(address)
@@ -199,14 +201,14 @@
 
 async def test_nothing_is_swept_where_nothing_waits() -> None:
     async with front_door(Backend()) as (gateway, address):
-        assert not gateway.clients.sweeping and not gateway.backends.sweeping
+        assert not gateway.clients.sweeper.is_scheduled and not gateway.backends.sweeping
         client = await Client.open(address)
         assert await client.ask(query("a1")) == b"ok"
-        assert gateway.clients.sweeping and gateway.backends.sweeping
-        gateway.clients.sweep()  # the one that is due finds no one who owes a command
-        assert not gateway.clients.sweeping
+        assert gateway.clients.sweeper.is_scheduled and gateway.backends.sweeping
+        gateway.clients.sweeper.sweep()  # the one that is due finds no one who owes a command
+        assert not gateway.clients.sweeper.is_scheduled
         client.send(query("a2")[:9])
-        while not gateway.clients.sweeping:
+        while not gateway.clients.sweeper.is_scheduled:
             await asyncio.sleep(0)
         for pool in gateway.backends.pools.values():
             pool.close_idle()
--- a/tests/proxy/test_closing_races.py
+++ b/tests/proxy/test_closing_races.py
@@ -41,7 +41,9 @@
         while not socket_inspection.unread(connection.transport):
             await asyncio.sleep(0)
         backend.writers[0].write(value(LONG_VALUE))
-        while gateway.requests.open or not connection.closing or connection.transport.get_write_buffer_size():
+        while (
+            gateway.requests.open or not connection.is_ending or connection.transport.get_write_buffer_size()
+        ):
             await asyncio.sleep(0)
         await asyncio.sleep(0.05)
         client.writer.transport.resume_reading()
--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -19,8 +19,9 @@
 from orchidhatch.proxy import socket_inspection as looks
 from orchidhatch.proxy.attempt import Attempt
 from orchidhatch.proxy.backends import Connection, Pool
-from orchidhatch.proxy.clients import PATIENCE_S, Reply
+from orchidhatch.proxy.client_connection import COMMAND_TIMEOUT_S
 from orchidhatch.proxy.config import Policy
+from orchidhatch.proxy.reply import Reply
 from orchidhatch.proxy.server import GatewayServer
 from tests import helpers
 from tests.helpers import S, World, of
@@ -285,7 +286,7 @@
     async with front_door(backend) as (gateway, address):
         client = await Client.open(address)
         client.send(b"".join(query(f"a{n}") for n in range(40)))
-        while all(connection.reading for connection in gateway.clients.connections):
+        while all(connection.is_reading for connection in gateway.clients.connections):
             await asyncio.sleep(0)
         client.writer.close()
         while gateway.requests.open or gateway.clients.connections or gateway.core.requests:
@@ -315,7 +316,7 @@
 
 async def drain(gateway: GatewayServer) -> asyncio.Task[None]:
     draining = asyncio.create_task(gateway.drain())
-    while not gateway.clients.draining:
+    while not gateway.clients.is_draining:
         await asyncio.sleep(0)
     return draining
 
@@ -394,7 +395,7 @@
         end = taken.transport.get_extra_info("socket")  # else the kernel would take it all
         end.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         slow.send(query("a1"))
-        while not gateway.clients.unsent:
+        while not gateway.clients.backlog.unsent_bytes:
             await asyncio.sleep(0)
         draining = await drain(gateway)
         while not gateway.clients.reads_no_more:
@@ -486,11 +487,11 @@
         late = await Client.open(address)
         while len(gateway.clients.connections) < 3:
             await asyncio.sleep(0)
-        gateway.clients.most = 3
+        gateway.clients.max_connections = 3
         for client, name in ((first, "a1"), (late, "a2")):
             os.write(client.writer.get_extra_info("socket").fileno(), query(name))  # in this very turn
-        now_s += PATIENCE_S
-        gateway.clients.sweep()
+        now_s += COMMAND_TIMEOUT_S
+        gateway.clients.sweeper.sweep()
         gateway.clients.make_room(None)
         assert await second.ended()
         assert await first.answer() == b"ok" and await late.answer() == b"ok"
--- a/tests/proxy/test_guards.py
+++ b/tests/proxy/test_guards.py
@@ -322,7 +322,7 @@
         client.send(query("a1"))
         await until(lambda: "a1" in gateway.requests.open)
         reply = gateway.requests.open["a1"].reply
-        reply.connection.reading = False
+        reply.connection.is_reading = False
         kernel_socket(client.writer).shutdown(socket.SHUT_RDWR)
         assert reply.end_if_client_left(may_be_unread=False)
         assert not gateway.requests.open
--- a/tests/proxy/test_long_values.py
+++ b/tests/proxy/test_long_values.py
@@ -8,7 +8,7 @@
 
 from orchidhatch.gateway.actions import CancelAttempt
 from orchidhatch.gateway.events import StreamStarted
-from orchidhatch.proxy import backends, clients, request_lifecycle
+from orchidhatch.proxy import backends, client_connection, request_lifecycle, send_backlog
 from orchidhatch.proxy.metrics import Ended
 from tests.helpers import World, of
 from tests.sockets import Backend, Client, front_door, query, resp, value
@@ -99,7 +99,7 @@
 
 async def test_slow_clients_pause_their_backends_and_lose_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     size, count = backends.MOST_LONG_VALUE, 4
-    monkeypatch.setattr(clients, "LEAST_POOL", 100_000)
+    monkeypatch.setattr(send_backlog, "MIN_BACKLOG_BYTES", 100_000)
     body = b"*1\r\n$%d\r\n%b\r\n" % (size, b"x" * size)
 
     backend = Backend(lambda words: body)
@@ -108,9 +108,9 @@
             slow = [stack.enter_context(slow_client(address)) for _ in range(count)]
             for number, client in enumerate(slow):
                 client.sendall(query(f"a{number}"))
-            await until(lambda: sum(e.reply.paused for e in gateway.requests.open.values()) == count)
+            await until(lambda: sum(e.reply.is_paused for e in gateway.requests.open.values()) == count)
             waiting = sum(c.transport.get_write_buffer_size() for c in gateway.clients.connections)
-            assert waiting <= 100_000 + count * (backends.MOST_READ + clients.MOST_UNSENT)
+            assert waiting <= 100_000 + count * (backends.MOST_READ + client_connection.WRITE_BUFFER_BYTES)
             other = await Client.open(address)
             assert await other.ask(resp("PING")) == b"PONG"
             loop = asyncio.get_running_loop()
@@ -147,7 +147,7 @@
 
 
 async def test_value_that_does_not_move_is_cut_at_last(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(request_lifecycle, "STALL_S", 0.1)
+    monkeypatch.setattr(request_lifecycle, "SEND_STALL_TIMEOUT_S", 0.1)
 
     backend = Backend(lambda words: HEAD + LONG[:1000])
     async with front_door(backend) as (_, address):
--- a/tests/proxy/test_server.py
+++ b/tests/proxy/test_server.py
@@ -11,7 +11,7 @@
 from orchidhatch.gateway.attempts import AttemptResult
 from orchidhatch.gateway.events import AttemptEnded, ClientGone, Event, Request, TimerExpired
 from orchidhatch.proxy import process_lifecycle
-from orchidhatch.proxy.clients import PATIENCE_S
+from orchidhatch.proxy.client_connection import COMMAND_TIMEOUT_S
 from orchidhatch.proxy.server import GatewayServer
 from tests.sockets import (
     CONFIG,
@@ -226,7 +226,7 @@
         busy.send(submit("a1"))
         await backend.came.wait()
         draining = asyncio.create_task(gateway.drain())
-        while not gateway.clients.draining:
+        while not gateway.clients.is_draining:
             await asyncio.sleep(0)
         client = await Client.open(address)
         backend.came.clear()
@@ -287,7 +287,7 @@
         later.send(query("b2")[:-1])
         while [len(one.reader.buffer) > 0 for one in gateway.clients.connections].count(True) < 2:
             await asyncio.sleep(0.001)
-        now_s += PATIENCE_S
+        now_s += COMMAND_TIMEOUT_S
         assert await silent.ended()
         for client in (amid, later):
             assert await client.answer() == "-ERR no whole command came in time"
--- a/tests/proxy/test_wait_queues.py
+++ b/tests/proxy/test_wait_queues.py
@@ -17,8 +17,10 @@
 from orchidhatch.gateway.peer_outbox import MESSAGES_LIMIT
 from orchidhatch.gateway.settings import Plan, RequestClass
 from orchidhatch.proxy import process_limits
-from orchidhatch.proxy.clients import MOST_PIPELINED, PATIENCE_S, SHED_POOLS, STALL_S
+from orchidhatch.proxy.client_connection import COMMAND_TIMEOUT_S, MAX_PIPELINED_COMMANDS
+from orchidhatch.proxy.client_sweeper import SEND_STALL_TIMEOUT_S
 from orchidhatch.proxy.log_writer import LogWriter
+from orchidhatch.proxy.send_backlog import SHED_LIMITS
 from orchidhatch.proxy.server import GatewayServer
 from orchidhatch.proxy.wait_queues import BUCKETS_MS, Line, Waits, figures
 from tests.helpers import MS, S, World, of, servers
@@ -103,9 +105,9 @@
     backend = Backend(lambda words: None)
     async with front_door(backend) as (gateway, address):
         client = await Client.open(address)
-        client.send(b"".join(query(f"a{n}") for n in range(3 * MOST_PIPELINED)))
+        client.send(b"".join(query(f"a{n}") for n in range(3 * MAX_PIPELINED_COMMANDS)))
         await until(lambda: line(gateway, "unread").depth)
-        assert line(gateway, "held").depth + len(backend.commands) <= 3 * MOST_PIPELINED
+        assert line(gateway, "held").depth + len(backend.commands) <= 3 * MAX_PIPELINED_COMMANDS
         backend.answer = lambda words: value(b"ok")
         for _ in range(len(backend.commands)):
             backend.writers.pop().write(value(b"ok"))
@@ -119,7 +121,7 @@
 
 async def test_one_client_more_than_there_is_room_for_costs_the_one_idle_longest() -> None:
     async with front_door(Backend()) as (gateway, address):
-        gateway.clients.most = 2
+        gateway.clients.max_connections = 2
         first, second, third = [await Client.open(address) for _ in range(3)]
         assert await first.ended()
         assert await third.ask(query("a1")) == b"ok" and await second.ask(query("a2")) == b"ok"
@@ -135,12 +137,12 @@
         slow.send(query("a1")[:20])
         quick.send(query("a2")[:20])
         await until(lambda: line(gateway, "partial").depth == 2)
-        now[0] += PATIENCE_S / 2
-        assert line(gateway, "partial").oldest_us == pytest.approx(PATIENCE_S / 2 * 1e6)
+        now[0] += COMMAND_TIMEOUT_S / 2
+        assert line(gateway, "partial").oldest_us == pytest.approx(COMMAND_TIMEOUT_S / 2 * 1e6)
         assert await quick.ask(query("a2")[20:]) == b"ok"
         assert total(line(gateway, "partial").waits) == 1
-        now[0] += PATIENCE_S
-        gateway.clients.sweep()
+        now[0] += COMMAND_TIMEOUT_S
+        gateway.clients.sweeper.sweep()
         assert await slow.answer() == "-ERR no whole command came in time" and await slow.ended()
         assert line(gateway, "partial").turned == 1
 
@@ -171,12 +173,12 @@
         now = [100.0]
         gateway.clients.clock = lambda: now[0]
         client = await clogged(gateway, address)
-        now[0] += STALL_S - 1
-        gateway.clients.sweep()
+        now[0] += SEND_STALL_TIMEOUT_S - 1
+        gateway.clients.sweeper.sweep()
         found = line(gateway, "unsent_bytes")
-        assert found.turned == 0 and found.oldest_us >= (STALL_S - 1) * 1e6
+        assert found.turned == 0 and found.oldest_us >= (SEND_STALL_TIMEOUT_S - 1) * 1e6
         now[0] += 2
-        gateway.clients.sweep()
+        gateway.clients.sweeper.sweep()
         await until(lambda: not gateway.clients.connections)
         found = line(gateway, "unsent_bytes")
         assert (found.turned, found.depth) == (1, 0)
@@ -186,11 +188,13 @@
 async def test_the_client_that_took_nothing_longest_goes_first_when_too_much_waits() -> None:
     async with front_door(Backend(lambda words: value(b"v" * 60_000))) as (gateway, address):
         client = await clogged(gateway, address)
-        gateway.clients.pool = gateway.clients.unsent  # as much as may wait, and no more
-        gateway.clients.sweep()
+        gateway.clients.backlog.limit_bytes = (
+            gateway.clients.backlog.unsent_bytes
+        )  # as much as may wait, and no more
+        gateway.clients.sweeper.sweep()
         assert line(gateway, "unsent_bytes").turned == 0
-        gateway.clients.pool = gateway.clients.unsent // SHED_POOLS - 1
-        gateway.clients.sweep()
+        gateway.clients.backlog.limit_bytes = gateway.clients.backlog.unsent_bytes // SHED_LIMITS - 1
+        gateway.clients.sweeper.sweep()
         await until(lambda: not gateway.clients.connections)
         found = line(gateway, "unsent_bytes")
         assert found.turned == 1 and found.depth == 0
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -29,7 +29,6 @@
         "proxy/attempt.py",
         "proxy/backend_replies.py",
         "proxy/backends.py",
-        "proxy/clients.py",
         "proxy/clock.py",
         "proxy/config.py",
         "proxy/configuration_reload.py",
