--- a/tests/baseline/test_gateway.py
+++ b/tests/baseline/test_gateway.py
@@ -1,4 +1,4 @@
-"""The decision core, its datagrams and its hand-over against the recordings of version 76db265."""
+"""The decision core, its datagrams and its hand-over against recordings of versions 76db265 and 699a6b8."""
 
 import gzip
 import json
@@ -33,7 +33,7 @@
         with gzip.open(path, "rt") as lines:
             for line in lines:
                 counts.update(event["type"] for _, event, _ in json.loads(line)["steps"])
-    assert len(STREAMS) == 4
+    assert len(STREAMS) == 10
     assert counts.total() > 10_000
     assert {class_of(name) for name in counts} == set(Event.__args__)
 
