--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that fail for a known fault, KNOWN-RED.txt: one entry a line, its fields between " | "."""
+"""The list of tests that fail for a known fault, KNOWN-RED.txt: one entry a line, fields between " | "."""
 
 from dataclasses import dataclass
 from pathlib import Path
