--- a/orchidhatch/proxy/request_exchange.py
+++ b/orchidhatch/proxy/request_exchange.py
@@ -52,4 +52,4 @@
 
     def has_another_out(self, attempt: Attempt) -> bool:
         """Whether an attempt beside this one may still reach its backend or be answered."""
-        return any(other is not attempt and not other.over for other in self.out.values())
+        return any(other is not attempt and not other.has_ended for other in self.out.values())
--- a/orchidhatch/proxy/request_lifecycle.py
+++ b/orchidhatch/proxy/request_lifecycle.py
@@ -273,7 +273,7 @@
             return None
         if not exchange.reply.is_last():
             return self._buffer_value(exchange, attempt, size)
-        attempt.keep_waiting()
+        attempt.cancel_timeout()
         exchange.stream = attempt
         exchange.timer.cancel()
         exchange.timer = self.loop.call_later(STALL_S, self._check_stall, attempt.request_id)
@@ -368,6 +368,6 @@
             exchange.timer.cancel()
         if exchange.out:
             self.ended[request_id] = exchange
-        for attempt in [attempt for attempt in exchange.out.values() if not attempt.written]:
+        for attempt in [attempt for attempt in exchange.out.values() if not attempt.was_written]:
             attempt.withdraw()  # nothing is begun for a client that has left or has its answer
         return exchange
--- a/orchidhatch/proxy/server.py
+++ b/orchidhatch/proxy/server.py
@@ -126,7 +126,7 @@
             self.account,
             pushed=not config.settings.must_subscribe,
         )
-        self.backends.news_is_unread = self.discovery.has_unread
+        self.backends.list_events_are_unread = self.discovery.has_unread
 
     def _create_process(self, config: Config) -> None:
         self.process = ProcessLifecycle(self.active, self.clients, self.requests)
--- a/tests/proxy/test_backends.py
+++ b/tests/proxy/test_backends.py
@@ -9,9 +9,13 @@
 
 from orchidhatch.gateway.attempts import AttemptResult, LoadReport
 from orchidhatch.gateway.endpoints import EndpointState
-from orchidhatch.proxy import backends
-from orchidhatch.proxy.backends import REST_US, Attempt, Backends, IdleLimit, read_reply
+from orchidhatch.proxy import backend_connection, backend_pool, backends
+from orchidhatch.proxy.attempt import Attempt
+from orchidhatch.proxy.backend_pool import REUSE_DELAY_US
+from orchidhatch.proxy.backend_replies import read_reply
+from orchidhatch.proxy.backends import Backends
 from orchidhatch.proxy.config import Address
+from orchidhatch.proxy.idle_limit import IdleLimit
 from orchidhatch.proxy.resp import ReplyReader
 from tests.sockets import HOST, Backend, refusing_address, resp, value
 
@@ -31,6 +35,10 @@
         self.backends.send(attempt, timeout_us)
         return attempt
 
+    async def turn(self) -> None:
+        """Let the event loop turn once."""
+        await asyncio.sleep(0)
+
     async def result(self) -> AttemptResult:
         return (await self.ended.get())[0]
 
@@ -39,10 +47,11 @@
 def rest(monkeypatch: pytest.MonkeyPatch) -> Callable[[], None]:
     """Moves the connections' clock on by the time that one rests after an answer."""
     real, late_us = backends.now_us, [0]
-    monkeypatch.setattr(backends, "now_us", lambda: real() + late_us[0])
+    for module in (backend_connection, backend_pool, backends):
+        monkeypatch.setattr(module, "now_us", lambda: real() + late_us[0])
 
     def pass_on() -> None:
-        late_us[0] += REST_US
+        late_us[0] += REUSE_DELAY_US
 
     return pass_on
 
@@ -177,11 +186,11 @@
         for writer in backend.writers:
             writer.write(value(b"x"))
         assert [await sender.result(), await sender.result()] == [AttemptResult.OK] * 2
-        assert len(sender.backends.pools["s"].idle) == 2
+        assert len(sender.backends.pools["s"].idle_connections) == 2
         backend.answer = lambda words, broken=broken: broken
         sender.send(timeout_us=100_000)
         assert await sender.result() in (AttemptResult.TIMEOUT, AttemptResult.RESET)
-        assert sender.backends.pools["s"].idle == []
+        assert sender.backends.pools["s"].idle_connections == []
 
 
 async def test_connections_are_bounded_over_all_backends() -> None:
--- a/tests/proxy/test_clients.py
+++ b/tests/proxy/test_clients.py
@@ -199,10 +199,10 @@
 
 async def test_nothing_is_swept_where_nothing_waits() -> None:
     async with front_door(Backend()) as (gateway, address):
-        assert not gateway.clients.sweeping and not gateway.backends.sweeping
+        assert not gateway.clients.sweeping and not gateway.backends.sweep_is_scheduled
         client = await Client.open(address)
         assert await client.ask(query("a1")) == b"ok"
-        assert gateway.clients.sweeping and gateway.backends.sweeping
+        assert gateway.clients.sweeping and gateway.backends.sweep_is_scheduled
         gateway.clients.sweep()  # the one that is due finds no one who owes a command
         assert not gateway.clients.sweeping
         client.send(query("a2")[:9])
@@ -213,4 +213,4 @@
         while gateway.backends.held:
             await asyncio.sleep(0)
         gateway.backends.sweep()
-        assert not gateway.backends.sweeping
+        assert not gateway.backends.sweep_is_scheduled
--- a/tests/proxy/test_deadlines.py
+++ b/tests/proxy/test_deadlines.py
@@ -7,7 +7,7 @@
 import pytest
 
 from orchidhatch.gateway.attempts import AttemptResult
-from orchidhatch.proxy import backends
+from orchidhatch.proxy import backend_connection, backend_pool
 from orchidhatch.proxy.attempt import Attempt
 from tests.proxy.test_backends import Sender, deaf
 from tests.proxy.test_local_failures import FailingAsyncio, FailingLoop
@@ -42,8 +42,8 @@
 
     backend = Backend(answer)
     async with front_door(backend) as (_, address):
-        monkeypatch.setattr(backends, "asyncio", FailingAsyncio(SlowLoop(0, 0)))
-        monkeypatch.setattr(backends, "REST_US", 60_000_000)
+        monkeypatch.setattr(backend_pool, "asyncio", FailingAsyncio(SlowLoop(0, 0)))
+        monkeypatch.setattr(backend_pool, "REUSE_DELAY_US", 60_000_000)
         client = await Client.open(address)
         sent_s = time.monotonic()
         await client.ask(query("a1", wait_ms=WAIT_MS))
@@ -55,7 +55,7 @@
 
 async def test_command_that_cannot_be_written_in_time_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
     """What it tells of the time left would be read too late."""
-    monkeypatch.setattr(backends, "MOST_WRITE_S", 0.01)
+    monkeypatch.setattr(backend_connection, "WRITE_TIMEOUT_S", 0.01)
     async with deaf() as (address, _):
         sender = Sender(address)
         sender.send(b"x" * (64 << 20))  # more than the kernel takes in
--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -15,10 +15,19 @@
 from orchidhatch.gateway.gossip import GossipMessage, SlotGrant
 from orchidhatch.gateway.settings import Plan
 from orchidhatch.gateway.snapshots import HandoverEjection
-from orchidhatch.proxy import attempt, backends, event_dispatcher, process_lifecycle, request_lifecycle
+from orchidhatch.proxy import (
+    attempt,
+    backend_connection,
+    backend_pool,
+    backends,
+    event_dispatcher,
+    process_lifecycle,
+    request_lifecycle,
+)
 from orchidhatch.proxy import socket_inspection as looks
 from orchidhatch.proxy.attempt import Attempt
-from orchidhatch.proxy.backends import Connection, Pool
+from orchidhatch.proxy.backend_connection import BackendConnection
+from orchidhatch.proxy.backend_pool import BackendPool
 from orchidhatch.proxy.clients import PATIENCE_S, Reply
 from orchidhatch.proxy.config import Policy
 from orchidhatch.proxy.server import GatewayServer
@@ -108,7 +117,7 @@
         client = await Client.open(address)
         client.send(query("a1"))
         pool = gateway.backends.pools["s0"]
-        while not pool.waiting:
+        while not pool.waiting_attempts:
             await asyncio.sleep(0)
         tell(gateway, entry("s0", leaving.address, "DRAINING"), entry("s1", elsewhere))
         assert await client.answer() == b"ok"
@@ -124,7 +133,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The module's turn may be due already when an attempt is given up, ahead of the close in the queue."""
-    monkeypatch.setattr(backends, "REST_US", 0)
+    monkeypatch.setattr(backend_pool, "REUSE_DELAY_US", 0)
 
     both = [Backend(), Backend()]
     async with front_door(*both) as (gateway, address):
@@ -138,13 +147,13 @@
         first = next(backend for backend in both if backend.commands)
         other = next(backend for backend in both if backend is not first)
         attempt, closed = gateway.requests.open["a1"].out[0], []
-        send = Connection.send
+        send = BackendConnection.send
 
-        def sent(connection: Connection, following: Attempt) -> None:
+        def sent(connection: BackendConnection, following: Attempt) -> None:
             closed.append(looks.left(first.writers[-1].transport))
             send(connection, following)
 
-        monkeypatch.setattr(Connection, "send", sent)
+        monkeypatch.setattr(BackendConnection, "send", sent)
         gateway.dispatcher.post(ClientGone("somebody else"))
         attempt.time_out()
         other.answer = lambda words: value(b"at last")
@@ -157,13 +166,13 @@
     late: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It comes on a connection that rests, or just before the next request is written there."""
-    monkeypatch.setattr(backends, "REST_US", 0 if late == "unread" else 3_600_000_000)
+    monkeypatch.setattr(backend_pool, "REUSE_DELAY_US", 0 if late == "unread" else 3_600_000_000)
 
     backend = Backend()
     async with front_door(backend) as (gateway, address):
         client = await Client.open(address)
         assert await client.ask(query("a1")) == b"ok"
-        (resting,) = gateway.backends.pools["s0"].idle
+        (resting,) = gateway.backends.pools["s0"].idle_connections
         backend.answer = lambda words: None
 
         def spoil() -> None:
@@ -173,7 +182,7 @@
         client.send(query("a2"))
         while len(backend.commands) < 2:
             await asyncio.sleep(0)
-        while resting.usable():
+        while resting.is_usable():
             await asyncio.sleep(0)
         backend.writers[1].write(value(b"its own"))
         assert await client.answer() == b"its own"
@@ -184,7 +193,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Written there it would end as a reset, after which it may have run and must not be sent again."""
-    monkeypatch.setattr(backends, "REST_US", 0)
+    monkeypatch.setattr(backend_pool, "REUSE_DELAY_US", 0)
 
     backend = Backend()
     async with front_door(backend) as (gateway, address):
@@ -200,25 +209,26 @@
 ) -> None:
     """The module decided on it in time; what it repeats may have run, and is forgotten there by now."""
     real, late_us = backends.now_us, 0
-    for module in (attempt, backends, event_dispatcher, request_lifecycle, process_lifecycle):
+    modules = (attempt, backend_connection, backend_pool, backends)
+    for module in (*modules, event_dispatcher, request_lifecycle, process_lifecycle):
         monkeypatch.setattr(module, "now_us", lambda: real() + late_us)
-    monkeypatch.setattr(backends, "REST_US", 3_600_000_000)
+    monkeypatch.setattr(backend_pool, "REUSE_DELAY_US", 3_600_000_000)
 
     async def job() -> None:
         nonlocal late_us
         both = [Backend(lambda words: b"-ERR failed\r\n"), Backend(lambda words: b"-ERR failed\r\n")]
         classes = (SETTINGS.classes[0], replace(SETTINGS.classes[1], dedup_window_us=S), SETTINGS.classes[2])
         async with front_door(*both, settings=replace(SETTINGS, classes=classes)) as (gateway, address):
-            client, up, connect = await Client.open(address), asyncio.Event(), Pool.connect
+            client, up, connect = await Client.open(address), asyncio.Event(), BackendPool.connect
 
-            async def connect_late(pool: Pool, connection: Connection) -> None:
+            async def connect_late(pool: BackendPool, connection: BackendConnection) -> None:
                 if sum(len(backend.commands) for backend in both):
                     await up.wait()
                 await connect(pool, connection)
 
-            monkeypatch.setattr(Pool, "connect", connect_late)
+            monkeypatch.setattr(BackendPool, "connect", connect_late)
             client.send(submit("a1", kind="book"))
-            while not any(pool.waiting for pool in gateway.backends.pools.values()) or not sum(
+            while not any(pool.waiting_attempts for pool in gateway.backends.pools.values()) or not sum(
                 len(backend.commands) for backend in both
             ):
                 await asyncio.sleep(0)
@@ -246,7 +256,7 @@
         client = await Client.open(address)
         client.send(query("a1", units="2"))
         pool = gateway.backends.pools["s0"]
-        while not pool.waiting:
+        while not pool.waiting_attempts:
             await asyncio.sleep(0)
         (customer,) = gateway.core.quotas.customers.values()
         assert customer.level < 3
@@ -254,7 +264,7 @@
         for connection in list(gateway.clients.connections):
             connection.connection_lost(None)  # before the one to the backend is told to be up
         assert connect == 1 and not gateway.requests.ended
-        while not pool.idle:
+        while not pool.idle_connections:
             await asyncio.sleep(0)
         assert not backend.commands and not gateway.core.requests
         assert customer.level == pytest.approx(4, abs=0.2) and customer.in_flight == 0  # given back, once
--- a/tests/proxy/test_guards.py
+++ b/tests/proxy/test_guards.py
@@ -12,7 +12,7 @@
 from orchidhatch.gateway.actions import SendAttempt
 from orchidhatch.gateway.attempts import AttemptResult
 from orchidhatch.gateway.endpoints import EndpointState
-from orchidhatch.proxy import backends
+from orchidhatch.proxy import backend_pool
 from orchidhatch.proxy.attempt import Attempt
 from orchidhatch.proxy.guards import Refusal
 from orchidhatch.proxy.loop_watch import GAP_US, TURNS, LoopWatch
@@ -83,7 +83,7 @@
     gateway: GatewayServer, backend: Backend, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A connection to the backend that has rested and may be used."""
-    monkeypatch.setattr(backends, "REST_US", 0)
+    monkeypatch.setattr(backend_pool, "REUSE_DELAY_US", 0)
     results: list[AttemptResult] = []
     gateway.backends.send(attempt_of(gateway, results), 5_000_000)
     await until(lambda: results)
@@ -101,15 +101,15 @@
         results: list[AttemptResult] = []
         pool = gateway.backends.pools["s0"]
         if dialled:  # it waits for its connection, which comes up in the turn in which the news do
-            release = pool.release
+            release = pool.connection_ready
 
             def news_first(connection: object) -> None:
-                pool.release = release
+                pool.connection_ready = release
                 stand_still()
                 watch.sendall(chunk(catalog(2, [entry("s0", backend.address, lifecycle)], reset=False)))
                 release(connection)
 
-            pool.release = news_first
+            pool.connection_ready = news_first
         else:  # a connection is idle, so that it could be written at once
             await leave_idle_connection(gateway, backend, monkeypatch)
             watch.sendall(chunk(catalog(2, [entry("s0", backend.address, lifecycle)], reset=False)))
@@ -124,7 +124,7 @@
     backend = Backend()
     async with told_by_hand(backend) as (gateway, _):
         results: list[AttemptResult] = []
-        gateway.backends.news_is_unread = lambda: True
+        gateway.backends.list_events_are_unread = lambda: True
         stand_still()
         gateway.backends.send(attempt_of(gateway, results), 5_000_000)
         await until(lambda: results)
@@ -154,14 +154,14 @@
     async with front_door(backend) as (gateway, address):
         client = await Client.open(address)
         pool = gateway.backends.pools["s0"]
-        release = pool.release
+        release = pool.connection_ready
 
         def left_first(connection: object) -> None:
             kernel_socket(client.writer).shutdown(socket.SHUT_RDWR)
             stand_still()
             release(connection)
 
-        pool.release = left_first
+        pool.connection_ready = left_first
         client.send(query("a1"))
         await until(lambda: gateway.requests.tally["asked"])
         await until(lambda: not gateway.requests.open and not gateway.requests.ended)
--- a/tests/proxy/test_local_failures.py
+++ b/tests/proxy/test_local_failures.py
@@ -8,7 +8,7 @@
 import pytest
 
 from orchidhatch.gateway.attempts import AttemptResult
-from orchidhatch.proxy import backends, endpoint_watch, server
+from orchidhatch.proxy import backend_pool, endpoint_watch, server
 from orchidhatch.proxy.config import ConfigError
 from tests.proxy.test_backends import Sender
 from tests.sockets import CONFIG, Backend, Client, Watch, front_door, query, refusing_address
@@ -62,7 +62,7 @@
     every = [Backend(), Backend(), Backend()]
     async with front_door(*every) as (gateway, address):
         clients = [await Client.open(address) for _ in range(8)]
-        fail_connects(monkeypatch, backends, 20, errno.EADDRNOTAVAIL)
+        fail_connects(monkeypatch, backend_pool, 20, errno.EADDRNOTAVAIL)
         answers = await asyncio.gather(
             *[client.ask(query(f"a{number}")) for number, client in enumerate(clients)]
         )
@@ -75,7 +75,7 @@
 @pytest.mark.parametrize("error", LOCAL, ids=errno.errorcode.get)
 async def test_dial_that_fails_here_is_tried_again(monkeypatch: pytest.MonkeyPatch, error: int) -> None:
     sender = Sender(await Backend().start())
-    loop = fail_connects(monkeypatch, backends, 3, error)
+    loop = fail_connects(monkeypatch, backend_pool, 3, error)
     sender.send()
     assert await sender.result() is AttemptResult.OK
     assert loop.left == 0 and sender.backends.local_failures[errno.errorcode[error]] == 3
@@ -86,7 +86,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     sender = Sender(await Backend().start())
-    fail_connects(monkeypatch, backends, 10_000, errno.ENOBUFS)
+    fail_connects(monkeypatch, backend_pool, 10_000, errno.ENOBUFS)
     sender.send()
     assert await sender.result() is AttemptResult.LOCAL_FAILURE
     assert sender.backends.held == 0
@@ -107,7 +107,7 @@
     async def dial(*_: object) -> None:
         raise RuntimeError("no such thing")
 
-    monkeypatch.setattr(backends.Pool, "dial", dial)
+    monkeypatch.setattr(backend_pool.BackendPool, "dial", dial)
     sender.send()
     assert await sender.result() is AttemptResult.LOCAL_FAILURE
     assert sender.backends.held == 0 and sender.backends.pools["s"].connecting == 0
--- a/tests/proxy/test_long_values.py
+++ b/tests/proxy/test_long_values.py
@@ -8,7 +8,7 @@
 
 from orchidhatch.gateway.actions import CancelAttempt
 from orchidhatch.gateway.events import StreamStarted
-from orchidhatch.proxy import backends, clients, request_lifecycle
+from orchidhatch.proxy import backend_connection, backend_pool, clients, request_lifecycle
 from orchidhatch.proxy.metrics import Ended
 from tests.helpers import World, of
 from tests.sockets import Backend, Client, front_door, query, resp, value
@@ -24,7 +24,9 @@
 
 
 async def test_value_is_passed_on_before_it_is_whole_and_stays_whole(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(backends, "REST_US", 0)  # what is asked is whether its connection is good afterwards
+    monkeypatch.setattr(
+        backend_pool, "REUSE_DELAY_US", 0
+    )  # what is asked is whether its connection is good afterwards
 
     backend = Backend(lambda words: HEAD + LONG[:1000])
     async with front_door(backend) as (gateway, address):
@@ -98,7 +100,7 @@
 
 
 async def test_slow_clients_pause_their_backends_and_lose_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    size, count = backends.MOST_LONG_VALUE, 4
+    size, count = backend_connection.MAX_LONG_VALUE_BYTES, 4
     monkeypatch.setattr(clients, "LEAST_POOL", 100_000)
     body = b"*1\r\n$%d\r\n%b\r\n" % (size, b"x" * size)
 
@@ -110,7 +112,7 @@
                 client.sendall(query(f"a{number}"))
             await until(lambda: sum(e.reply.paused for e in gateway.requests.open.values()) == count)
             waiting = sum(c.transport.get_write_buffer_size() for c in gateway.clients.connections)
-            assert waiting <= 100_000 + count * (backends.MOST_READ + clients.MOST_UNSENT)
+            assert waiting <= 100_000 + count * (backend_connection.READ_BUFFER_BYTES + clients.MOST_UNSENT)
             other = await Client.open(address)
             assert await other.ask(resp("PING")) == b"PONG"
             loop = asyncio.get_running_loop()
--- a/tests/proxy/test_management.py
+++ b/tests/proxy/test_management.py
@@ -146,10 +146,10 @@
         client = await Client.open(address)
         client.send(query("a1"))
         pool = gateway.backends.pools["s0"]
-        while not pool.waiting:
+        while not pool.waiting_attempts:
             await asyncio.sleep(0)
         gateway.management_handlers.begin_maintenance("s0")
-        assert not pool.waiting
+        assert not pool.waiting_attempts
         client.writer.close()
         while pool.connecting or pool.connections:
             await asyncio.sleep(0.01)
