--- a/orchidhatch/faults/seeded_defects.py
+++ b/orchidhatch/faults/seeded_defects.py
@@ -16,9 +16,9 @@
 
 def ignore_drains() -> None:
     from orchidhatch.gateway.endpoints import EndpointState
-    from orchidhatch.proxy import endpoint_watch as discovery
+    from orchidhatch.proxy import endpoint_list_reader
 
-    discovery.STATES["DRAINING"] = EndpointState.UP
+    endpoint_list_reader.STATES["DRAINING"] = EndpointState.UP
 
 
 def answer_twice() -> None:
--- a/orchidhatch/proxy/configuration_reload.py
+++ b/orchidhatch/proxy/configuration_reload.py
@@ -5,7 +5,7 @@
 from orchidhatch.gateway.events import PolicyChange
 from orchidhatch.proxy.active_configuration import ActiveConfiguration
 from orchidhatch.proxy.config import Config
-from orchidhatch.proxy.endpoint_watch import Discovery
+from orchidhatch.proxy.endpoint_watch import EndpointWatcher
 from orchidhatch.proxy.event_dispatcher import EventDispatcher
 from orchidhatch.proxy.peers import Peers
 from orchidhatch.proxy.policy_guard import Watchfulness
@@ -20,7 +20,7 @@
         self,
         active: ActiveConfiguration,
         dispatcher: EventDispatcher,
-        discovery: Discovery,
+        discovery: EndpointWatcher,
         peers: Peers,
         policy_guard: Watchfulness,
     ) -> None:
--- a/orchidhatch/proxy/process_handover.py
+++ b/orchidhatch/proxy/process_handover.py
@@ -15,7 +15,7 @@
 from orchidhatch.gateway.snapshots import GatewaySnapshot, HandoverEjection, HandoverMessage
 from orchidhatch.proxy.backends import Backends
 from orchidhatch.proxy.clients import Clients
-from orchidhatch.proxy.endpoint_watch import Catalog, News
+from orchidhatch.proxy.endpoint_list_reader import EndpointListReader, EndpointUpdate
 from orchidhatch.proxy.event_dispatcher import EventDispatcher
 from orchidhatch.proxy.handover import HandoverPeer
 from orchidhatch.proxy.process_lifecycle import ProcessLifecycle, ProcessState
@@ -39,8 +39,8 @@
         dispatcher: EventDispatcher,
         clients: Clients,
         backends: Backends,
-        catalog: Catalog,
-        apply_endpoints: Callable[[News], None],
+        catalog: EndpointListReader,
+        apply_endpoints: Callable[[EndpointUpdate], None],
         stop_listening: Callable[[], None],
     ) -> None:
         """`shared` is the directory of the two processes, None for a process that takes part in none."""
@@ -87,8 +87,8 @@
     def resume(self, state: GatewaySnapshot, known: Mapping[str, Any]) -> None:
         """Restore the predecessor's state; its endpoint list holds unless this one's is as new."""
         self.catalog.adopt_starts(known, {server.name: server.started_us for server in state.servers})
-        newest = known if known["generation"] > self.catalog.version else self.catalog.known()
-        self.apply_endpoints(self.catalog.news(newest, EndpointListKind.FULL))
+        newest = known if known["generation"] > self.catalog.version else self.catalog.snapshot()
+        self.apply_endpoints(self.catalog.read(newest, EndpointListKind.FULL))
         self.dispatcher.run_batch()
         self.dispatcher.post(state)
         self.dispatcher.run_batch()
@@ -100,7 +100,7 @@
     def handover_state(self) -> dict[str, Any]:
         """The snapshot that a successor goes on from."""
         state = to_plain(self.dispatcher.ask(StartHandover()))
-        return {"state": state, "known": self.catalog.known(), "count": self.socket_counts()}
+        return {"state": state, "known": self.catalog.snapshot(), "count": self.socket_counts()}
 
     def release(self) -> None:
         """Stop accepting, release the addresses and close idle connections: a successor serves."""
--- a/orchidhatch/proxy/server.py
+++ b/orchidhatch/proxy/server.py
@@ -34,7 +34,8 @@
 from orchidhatch.proxy.config import LEAST_SOCKETS, SPARE_SOCKETS, Address, Config
 from orchidhatch.proxy.configuration_reload import ConfigurationReloader
 from orchidhatch.proxy.cpu_accounting import Account, Place
-from orchidhatch.proxy.endpoint_watch import Catalog, Discovery, News
+from orchidhatch.proxy.endpoint_list_reader import EndpointListReader, EndpointUpdate
+from orchidhatch.proxy.endpoint_watch import EndpointWatcher
 from orchidhatch.proxy.event_dispatcher import ActionHandlers, EventDispatcher
 from orchidhatch.proxy.guards import Guard
 from orchidhatch.proxy.listening import closed_on_error, datagram_socket, stream_socket
@@ -114,9 +115,9 @@
         self.peers.mark = config.settings.policy_mark
 
     def _create_endpoint_watch(self, config: Config) -> None:
-        self.catalog = Catalog(config)
+        self.catalog = EndpointListReader(config)
         known = self._apply_known_endpoints(config)
-        self.discovery = Discovery(
+        self.discovery = EndpointWatcher(
             config.discovery,
             self.catalog,
             known.event.version if known else 0,
@@ -124,7 +125,7 @@
             config.settings.seed,
             config.settings.gateway_count,
             self.account,
-            pushed=not config.settings.must_subscribe,
+            is_agent=not config.settings.must_subscribe,
         )
         self.backends.list_events_are_unread = self.discovery.has_unread
 
@@ -132,7 +133,7 @@
         self.process = ProcessLifecycle(self.active, self.clients, self.requests)
         self.operator_drain = OperatorDrain(self.process, self.clients, self.dispatcher.post)
         self.policy_guard = Watchfulness(
-            config.policy, self.discovery.heard_s, self.operator_drain.suspend_admission
+            config.policy, self.discovery.last_sign_of_life_s, self.operator_drain.suspend_admission
         )
         self.handover = ProcessHandover(
             config.shared if config.socket_fd is not None else None,
@@ -213,24 +214,24 @@
 
     # --- the endpoint list ---
 
-    def _apply_known_endpoints(self, config: Config) -> News | None:
+    def _apply_known_endpoints(self, config: Config) -> EndpointUpdate | None:
         if not config.known:
             return None
         try:
-            news = self.catalog.news(config.known, EndpointListKind.SAVED)
+            update = self.catalog.read(config.known, EndpointListKind.SAVED)
         except (KeyError, TypeError, ValueError) as error:
-            log.error("the known list makes no sense: %s", error)
+            log.error("known endpoint list malformed: error=%s", error)
             return None
-        self.apply_endpoints(news)
-        return news
+        self.apply_endpoints(update)
+        return update
 
-    def apply_endpoints(self, news: News) -> None:
+    def apply_endpoints(self, update: EndpointUpdate) -> None:
         """Give a watch event to the decision core and to the connection pools."""
-        is_whole = news.event.kind is not EndpointListKind.CHANGES
-        states = {server.name: server.state for server in news.event.endpoints}
+        is_whole = update.event.kind is not EndpointListKind.CHANGES
+        states = {server.name: server.state for server in update.event.endpoints}
         # Before the ends of what waited at removed backends, which may be sent elsewhere.
-        self.dispatcher.post(news.event)
-        self.backends.update(states, news.addresses, is_whole)
+        self.dispatcher.post(update.event)
+        self.backends.update(states, update.addresses, is_whole)
 
     # --- start and end ---
 
@@ -255,7 +256,7 @@
     async def _wait_for_endpoints(self) -> None:
         """Wait a short time for a list that is newer than the known one, or for any if none is known."""
         is_known = bool(self.catalog.entries)
-        heard = self.discovery.spoke if is_known else self.discovery.first
+        heard = self.discovery.has_accepted_watch if is_known else self.discovery.has_update
         try:
             await asyncio.wait_for(heard.wait(), NEWER_LIST_S if is_known else FIRST_LIST_S)
         except TimeoutError:
--- /dev/null
+++ b/orchidhatch/proxy/watch_connection.py
@@ -0,0 +1,172 @@
+"""The connection of one watch on discovery, from its request to its end."""
+
+import asyncio
+import contextlib
+import logging
+import time
+from collections.abc import Callable
+from enum import Enum
+from typing import Any
+
+import h11
+
+from orchidhatch.proxy import socket_inspection
+from orchidhatch.proxy.cpu_accounting import Account, Place
+from orchidhatch.proxy.json_lines import MAX_VALUE_BYTES, JsonLineReader
+
+log = logging.getLogger(__name__)
+
+MALFORMED = (
+    h11.ProtocolError,
+    ValueError,
+    KeyError,
+    TypeError,
+    AttributeError,
+    ArithmeticError,
+    RecursionError,
+)
+"""What a malformed watch event may raise; one that is nested deeply a RecursionError."""
+
+
+class WatchState(Enum):
+    """How far a watch has come; TRANSITIONS has the changes."""
+
+    CONNECTING = "connecting"
+    REQUESTED = "requested"
+    ACCEPTED = "accepted"
+    """Discovery has answered with 200, and sends events."""
+    ENDED = "ended"
+
+
+TRANSITIONS = {
+    WatchState.CONNECTING: {WatchState.REQUESTED, WatchState.ENDED},
+    WatchState.REQUESTED: {WatchState.ACCEPTED, WatchState.ENDED},
+    WatchState.ACCEPTED: {WatchState.ENDED},
+    WatchState.ENDED: set[WatchState](),
+}
+"""From each state, the states that may follow."""
+
+
+class WatchConnection(asyncio.Protocol):
+    """A watch: sends its request, and hands on the values and heartbeats that come.
+
+    `on_value` gets each JSON value, `on_accepted` is called once the watch is accepted, `on_heartbeat` at
+    each empty line.
+    """
+
+    def __init__(
+        self,
+        target: str,
+        host: str,
+        on_value: Callable[[Any], None],
+        on_accepted: Callable[["WatchConnection"], None],
+        account: Account,
+        on_heartbeat: Callable[[], None] = lambda: None,
+    ) -> None:
+        self.target = target
+        self.host = host
+        self.values = JsonLineReader(on_value)
+        self.on_accepted = on_accepted
+        self.on_heartbeat = on_heartbeat
+        self.account = account
+        self.http = h11.Connection(h11.CLIENT)
+        self.buffer = bytearray()
+        self.state = WatchState.CONNECTING
+        self.was_accepted = False
+        self.was_malformed = False
+        """Whether it brought an event that could not be read."""
+        self.opened_s = time.monotonic()
+        self.last_received_s = self.opened_s
+        self.ended = asyncio.get_running_loop().create_future()
+        self.transport: asyncio.Transport | None = None
+
+    def _enter(self, state: WatchState) -> None:
+        """Change the state. Raises ValueError for what is no transition."""
+        if state not in TRANSITIONS[self.state]:
+            raise ValueError(f"watch state {self.state.value} cannot become {state.value}")
+        self.state = state
+
+    def connection_made(self, transport: asyncio.Transport) -> None:
+        """Send the request."""
+        self._enter(WatchState.REQUESTED)
+        self.transport = transport
+        request = h11.Request(method="GET", target=self.target, headers=[("Host", self.host)])
+        transport.write(self.http.send(request) + self.http.send(h11.EndOfMessage()))
+
+    def data_received(self, data: bytes) -> None:
+        """Read what has come; a malformed event ends the watch."""
+        self.last_received_s = time.monotonic()
+        previous_place = self.account.enter(Place.DISCOVERY)
+        try:
+            self.http.receive_data(data)
+            while (event := self.http.next_event()) not in (h11.NEED_DATA, h11.PAUSED):
+                self._on_http_event(event)
+        except MALFORMED as error:
+            self._note_malformed(error)
+            self.close()
+        finally:
+            self.account.leave(previous_place)
+
+    def eof_received(self) -> None:
+        """The other side has ended the connection, which ends a response that states no length.
+
+        A reset is no such end: what is left then of a value is dropped.
+        """
+        with contextlib.suppress(h11.ProtocolError):  # cut off amid a chunk: nothing was whole
+            self.http.receive_data(b"")
+            if isinstance(self.http.next_event(), h11.EndOfMessage):
+                self._take_last_line()
+
+    def connection_lost(self, error: Exception | None) -> None:
+        """Report the end of the watch."""
+        self._enter(WatchState.ENDED)
+        if not self.ended.done():
+            self.ended.set_result(None)
+
+    def has_ended(self) -> bool:
+        """Whether its connection is closed."""
+        return self.ended.done()
+
+    def has_unread(self) -> bool:
+        """Whether bytes have come that were not read yet."""
+        transport = self.transport
+        return transport is not None and not transport.is_closing() and socket_inspection.unread(transport)
+
+    def close(self) -> None:
+        """End the watch."""
+        if self.transport:
+            self.transport.abort()
+
+    def _on_http_event(self, event: h11.Event) -> None:
+        if isinstance(event, h11.Response):
+            if event.status_code != 200:
+                raise ValueError(f"status {event.status_code}")
+            self._enter(WatchState.ACCEPTED)
+            self.was_accepted = True
+            self.on_accepted(self)
+        if isinstance(event, h11.Data):
+            self._take_lines(event.data)
+        if isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
+            self.close()
+
+    def _take_lines(self, data: bytes) -> None:
+        self.buffer += data
+        *lines, self.buffer = self.buffer.split(b"\n")
+        for line in lines:
+            if line.strip():
+                self.values.feed(bytes(line))
+            else:
+                self.on_heartbeat()
+        if len(self.buffer) > MAX_VALUE_BYTES:
+            raise ValueError("a line without an end")
+
+    def _take_last_line(self) -> None:
+        try:
+            if self.buffer.strip():
+                self.values.feed(bytes(self.buffer))
+        except MALFORMED as error:
+            self._note_malformed(error)
+
+    def _note_malformed(self, error: Exception) -> None:
+        log.error("endpoint watch event malformed: error=%s", error)
+        self.was_malformed = True
--- a/tests/control/test_schemas.py
+++ b/tests/control/test_schemas.py
@@ -18,7 +18,7 @@
     read_remove_endpoint,
 )
 from orchidhatch.gateway.endpoints import EndpointListKind, EndpointState
-from orchidhatch.proxy.endpoint_watch import Catalog
+from orchidhatch.proxy.endpoint_list_reader import EndpointListReader
 from tests.sockets import CONFIG
 
 GIVEN = {
@@ -176,8 +176,8 @@
 )
 def test_gateway_when_an_endpoint_is_registered_then_reads_it(given: dict[str, object]) -> None:
     entry: Endpoint = read_register_endpoint(json.dumps(given).encode()).endpoint
-    catalog = Catalog(CONFIG)
-    news = catalog.news(json.loads(encode_watch_event(3, True, [entry])))
+    catalog = EndpointListReader(CONFIG)
+    news = catalog.read(json.loads(encode_watch_event(3, True, [entry])))
     [server] = news.event.endpoints
     assert news.event.kind is EndpointListKind.FULL and server.name == given["instanceId"]
     assert news.addresses == {entry.id: ("127.0.0.1", int(entry.address.rpartition(":")[2]))}
--- a/tests/proxy/test_attempt_states.py
+++ b/tests/proxy/test_attempt_states.py
@@ -9,7 +9,7 @@
 from orchidhatch.proxy import backend_connection as connection_states
 from orchidhatch.proxy.attempt import Attempt, AttemptState
 from orchidhatch.proxy.backend_connection import BackendConnection, ConnectionState
-from tests.proxy.test_backends import Sender, deaf
+from tests.proxy.test_backend_pool import Sender, deaf
 
 ATTEMPT_PAIRS = list(itertools.product(AttemptState, AttemptState))
 CONNECTION_PAIRS = list(itertools.product(ConnectionState, ConnectionState))
--- a/tests/proxy/test_backends.py
+++ b/tests/proxy/test_backend_pool.py
@@ -65,7 +65,7 @@
         yield listener.getsockname(), listener
 
 
-async def test_connection_is_reused_and_carries_one_command_at_a_time(rest: Callable[[], None]) -> None:
+async def test_connection_is_reused_for_one_command_at_a_time(rest: Callable[[], None]) -> None:
     backend = Backend(lambda words: None)
     sender = Sender(await backend.start())
     sender.send()
@@ -91,7 +91,7 @@
     sender.backends.close()
 
 
-async def test_given_up_attempt_closes_its_connection() -> None:
+async def test_abandoned_attempt_closes_its_connection() -> None:
     backend = Backend(lambda words: None)
     sender = Sender(await backend.start())
     attempt = sender.send()
@@ -106,20 +106,20 @@
     sender.backends.close()
 
 
-async def test_broken_after_the_last_byte_may_have_run() -> None:
+async def test_reset_after_last_byte_may_have_run() -> None:
     sender = Sender(await Backend(lambda words: b"").start())
     sender.send()
     assert await sender.result() is AttemptResult.RESET
 
 
-async def test_silent_after_the_last_byte_timed_out() -> None:
+async def test_silence_after_last_byte_is_a_timeout() -> None:
     async with deaf() as (address, _):
         sender = Sender(address)
         sender.send(timeout_us=50_000)
         assert await sender.result() is AttemptResult.TIMEOUT
 
 
-async def test_refused_or_out_of_time_before_the_last_byte_never_ran() -> None:
+async def test_failure_before_last_byte_never_ran() -> None:
     sender = Sender(refusing_address())
     sender.send()
     assert await sender.result() is AttemptResult.CONNECT_FAILED
@@ -136,7 +136,7 @@
         assert await sender.result() is AttemptResult.CONNECT_FAILED
 
 
-async def test_connection_that_ends_as_soon_as_it_is_up_never_ran() -> None:
+async def test_connection_closed_once_up_never_ran() -> None:
     async with deaf() as (address, listener):
         sender = Sender(address)
         sender.send(timeout_us=20 * S)
@@ -149,7 +149,7 @@
         )
 
 
-async def test_machine_that_never_answers_a_connect_is_given_up_soon() -> None:
+async def test_unanswered_connect_times_out() -> None:
     with contextlib.ExitStack() as stack:
         listener = stack.enter_context(socket.socket())
         listener.bind((HOST, 0))
@@ -163,7 +163,7 @@
         assert await asyncio.wait_for(sender.result(), 5) is AttemptResult.CONNECT_FAILED
 
 
-async def test_idle_connection_is_closed_by_us_first() -> None:
+async def test_idle_connection_is_closed_before_its_backend_does() -> None:
     backend = Backend()
     sender = Sender(await backend.start(), idle_us=200_000)
     sender.send()
@@ -172,7 +172,7 @@
     assert sender.backends.held == 0
 
 
-async def test_silence_or_a_reset_puts_idle_connections_in_doubt() -> None:
+async def test_timeout_or_reset_closes_idle_connections() -> None:
     """A machine that vanished resets them when it is back: an unsafe request would be lost on one."""
 
     for broken in (None, b""):
@@ -207,7 +207,7 @@
     sender.backends.close()
 
 
-async def test_bound_is_met_while_the_only_connection_is_in_use_again(rest: Callable[[], None]) -> None:
+async def test_bound_holds_while_only_connection_is_reused(rest: Callable[[], None]) -> None:
     """It was idle at another backend, and is no more."""
     backend = Backend(lambda words: value(b"x"))
     sender = Sender(await backend.start(), most=1)
@@ -223,7 +223,7 @@
     sender.backends.close()
 
 
-async def test_gone_backend_keeps_its_attempt_and_loses_idle_connections() -> None:
+async def test_gone_backend_keeps_attempts_but_no_idle_connections() -> None:
     backend = Backend(lambda words: None)
     sender = Sender(await backend.start())
     sender.send()
@@ -245,7 +245,7 @@
     assert read_reply([None, None, None])[0] is AttemptResult.ERROR
 
 
-async def test_size_that_an_answer_claims_makes_no_room() -> None:
+async def test_claimed_reply_size_allocates_nothing() -> None:
     """Arrays made as long as they claim are traversed and freed on the gateway's CPU time."""
 
     for claim in (b"*100000000\r\n", b"*3\r\n*100000000\r\n", b"*3\r\n$5000000\r\n"):
@@ -256,7 +256,7 @@
         sender.backends.close()
 
 
-def test_answer_is_read_in_whatever_pieces_it_comes() -> None:
+def test_reply_is_read_in_any_pieces() -> None:
     for stream, replies in (
         (value(b"a\r\nb", b"$9\r\nutil=0.61\r\n"), [[b"a\r\nb", None, b"util=0.61"]]),
         (b"-ERR failed\r\n-BUSY\r\n", ["ERR failed", "BUSY"]),
@@ -270,7 +270,7 @@
         assert came == replies and not reader.has_data()
 
 
-def test_resets_after_idling_teach_how_long_a_connection_is_good() -> None:
+def test_resets_after_idling_lower_the_idle_limit() -> None:
     limit = IdleLimit(15 * S)
     for n in range(40):
         limit.note(10_000, reset=n % 10 == 0)  # some are reset whatever they did before
@@ -281,7 +281,7 @@
     assert limit.us == 15 * S  # tried again after a while
 
 
-async def test_connection_idle_beyond_the_limit_is_not_used(rest: Callable[[], None]) -> None:
+async def test_connection_idle_beyond_limit_is_not_reused(rest: Callable[[], None]) -> None:
     backend = Backend()
     sender = Sender(await backend.start())
     for limit_us, opened in ((15 * S, 1), (15 * S, 1), (-1, 2)):
--- a/tests/proxy/test_deadlines.py
+++ b/tests/proxy/test_deadlines.py
@@ -9,7 +9,7 @@
 from orchidhatch.gateway.attempts import AttemptResult
 from orchidhatch.proxy import backend_connection, backend_pool
 from orchidhatch.proxy.attempt import Attempt
-from tests.proxy.test_backends import Sender, deaf
+from tests.proxy.test_backend_pool import Sender, deaf
 from tests.proxy.test_local_failures import FailingAsyncio, FailingLoop
 from tests.sockets import Backend, Client, front_door, kernel_socket, query
 
@@ -31,7 +31,7 @@
     return int(fields["d"])
 
 
-async def test_attempt_that_waited_for_its_connection_tells_what_is_left_then(
+async def test_attempt_states_time_left_after_waiting_to_connect(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     came_s: list[float] = []
@@ -53,7 +53,7 @@
         assert told_ms(words) <= left_ms + SLACK_MS
 
 
-async def test_command_that_cannot_be_written_in_time_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_command_not_written_in_time_is_abandoned(monkeypatch: pytest.MonkeyPatch) -> None:
     """What it tells of the time left would be read too late."""
     monkeypatch.setattr(backend_connection, "WRITE_TIMEOUT_S", 0.01)
     async with deaf() as (address, _):
@@ -63,7 +63,7 @@
         assert sender.backends.sends == 0
 
 
-async def test_attempt_whose_time_is_over_is_not_written() -> None:
+async def test_attempt_past_its_deadline_is_not_written() -> None:
     backend = Backend()
     sender = Sender(await backend.start())
     attempt = Attempt("a", 0, "s", lambda left_us: b"?", lambda _, *how: sender.ended.put_nowait(how))
@@ -74,7 +74,7 @@
     sender.backends.close()
 
 
-async def test_answer_that_has_come_by_the_time_out_is_read() -> None:
+async def test_reply_unread_at_timeout_is_read() -> None:
     """After a long turn of the event loop timers go ahead of what has come meanwhile."""
     backend = Backend(lambda words: None)
     sender = Sender(await backend.start())
--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -51,7 +51,7 @@
 def tell(gateway: GatewayServer, *entries: dict[str, object]) -> None:
     """Discovery's news, as its watch hands them on."""
     gateway.apply_endpoints(
-        gateway.catalog.news(json.loads(catalog(gateway.catalog.version + 1, entries, reset=False)))
+        gateway.catalog.read(json.loads(catalog(gateway.catalog.version + 1, entries, reset=False)))
     )
 
 
@@ -84,7 +84,7 @@
     "drains": lambda gateway, backend: tell(gateway, entry("s0", backend.address, "DRAINING")),
     "gone": lambda gateway, backend: tell(gateway, {"instanceId": "s0", "lifecycle": "DELETED"}),
     "not in the whole list": lambda gateway, backend: gateway.apply_endpoints(
-        gateway.catalog.news(json.loads(catalog(gateway.catalog.version + 1, [])))
+        gateway.catalog.read(json.loads(catalog(gateway.catalog.version + 1, [])))
     ),
     "left out at the other process": lambda gateway, backend: gateway.handover.handover_peer_sent(
         HandoverEjection("s0", True)
--- a/tests/proxy/test_endpoint_watch.py
+++ b/tests/proxy/test_endpoint_watch.py
@@ -15,8 +15,10 @@
 from orchidhatch.gateway.events import EndpointList, Event
 from orchidhatch.gateway.gossip import GossipMessage
 from orchidhatch.gateway.gossip_codec import pack_message
-from orchidhatch.proxy import endpoint_watch as discovery
-from orchidhatch.proxy.endpoint_watch import Catalog, Discovery, News, Values
+from orchidhatch.proxy import endpoint_watch, watch_backoff
+from orchidhatch.proxy.endpoint_list_reader import EndpointListReader, EndpointUpdate
+from orchidhatch.proxy.endpoint_watch import EndpointWatcher
+from orchidhatch.proxy.json_lines import JsonLineReader
 from orchidhatch.proxy.peers import Peers
 from orchidhatch.proxy.server import GatewayServer
 from tests.sockets import CONFIG, HEAD, HOST, Watch, catalog, chunk, entry, refusing_address, run
@@ -24,10 +26,10 @@
 AT = (HOST, 6379)
 
 
-async def news_of(watch: Watch, count: int, version: int = 0) -> list[News]:
+async def news_of(watch: Watch, count: int, version: int = 0) -> list[EndpointUpdate]:
     """The first news that a watch brings."""
-    heard: asyncio.Queue[News] = asyncio.Queue()
-    found = Discovery(await watch.start(), Catalog(CONFIG), version, heard.put_nowait)
+    heard: asyncio.Queue[EndpointUpdate] = asyncio.Queue()
+    found = EndpointWatcher(await watch.start(), EndpointListReader(CONFIG), version, heard.put_nowait)
     task = asyncio.create_task(found.run())
     try:
         return [await heard.get() for _ in range(count)]
@@ -46,7 +48,7 @@
     return play
 
 
-async def test_lines_in_pieces_empty_lines_and_unknown_states() -> None:
+async def test_list_lines_in_pieces_with_heartbeats_and_unknown_states() -> None:
     odd = [entry("s2", AT, "RESTING"), {"instanceId": "odd"}, entry("s3", AT, "DRAINING")]
     line = catalog(5, [entry("s1", AT), *odd])
     gone = catalog(6, [{"instanceId": "s1", "lifecycle": "DELETED"}], reset=False)
@@ -62,7 +64,7 @@
     assert second.event.endpoints[0].state is EndpointState.GONE
 
 
-async def test_watch_that_ends_is_reopened_after_what_was_heard() -> None:
+async def test_ended_watch_resumes_after_last_version() -> None:
     watch = Watch(
         script(HEAD + chunk(catalog(5, [])), stay=False),
         script(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", stay=False),
@@ -78,7 +80,7 @@
 
 @pytest.mark.parametrize("size", [1, 7, 1 << 20])
 @pytest.mark.parametrize("indent", [0, 1, 4, "\t"])
-async def test_lists_may_come_indented(indent: int | str, size: int) -> None:
+async def test_indented_lists_are_read(indent: int | str, size: int) -> None:
     """On several lines, with an empty one of the watch's own amid them, and with brackets in their texts."""
     odd = entry("s}1", AT) | {"note": 'a "{[ \\" of text'}
     whole = json.loads(catalog(5, [odd, entry("s2", AT)]))
@@ -105,9 +107,9 @@
         [b"{", b'"a": "' + b"x" * (1 << 22) + b'",'],
     ],
 )
-def test_lines_that_make_no_sense_are_found_out(lines: list[bytes]) -> None:
+def test_malformed_lines_are_rejected(lines: list[bytes]) -> None:
     values: list[object] = []
-    read = Values(values.append)
+    read = JsonLineReader(values.append)
     with pytest.raises(ValueError):
         for line in lines:
             read.feed(line)
@@ -115,7 +117,7 @@
 
 
 async def test_silent_watch_is_reopened(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery, "SILENT_S", 0.2)
+    monkeypatch.setattr(endpoint_watch, "SILENCE_LIMIT_S", 0.2)
 
     watch = Watch(script(HEAD), script(HEAD + chunk(catalog(4, []))))
     assert (await news_of(watch, 1))[0].event.version == 4
@@ -138,12 +140,12 @@
         (False, LIST, "reset", False),
     ],
 )
-def test_a_watch_that_ends_comes_back_at_once_unless_discovery_has_too_much_to_do(
+def test_ended_watch_is_reopened_at_once_unless_overloaded(
     pushed: bool, stream: bytes, ends: str, soon: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """What the agent has counts as told whether or not a watch is open, in the largest tier too, whatever it
     did to the watch before. Who asks a service that all share leaves it time."""
-    monkeypatch.setattr(discovery, "SILENT_S", 0.05)
+    monkeypatch.setattr(endpoint_watch, "SILENCE_LIMIT_S", 0.05)
     waits: list[float] = []
 
     async def job() -> None:
@@ -154,8 +156,14 @@
             await writer.drain()
             writer.transport.close() if stream else writer.transport.abort()
 
-        found = Discovery(
-            await Watch(play).start(), Catalog(CONFIG), 0, lambda news: None, 3, 200, pushed=pushed
+        found = EndpointWatcher(
+            await Watch(play).start(),
+            EndpointListReader(CONFIG),
+            0,
+            lambda news: None,
+            3,
+            200,
+            is_agent=pushed,
         )
 
         async def noted(wait_s: float) -> None:
@@ -171,14 +179,14 @@
 
 
 @pytest.mark.parametrize("pushed", [True, False])
-def test_an_agent_that_is_away_for_a_while_is_asked_again_within_a_second(
-    pushed: bool, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_absent_agent_is_asked_again_within_a_second(pushed: bool, monkeypatch: pytest.MonkeyPatch) -> None:
     """It is this machine's own, and costs nobody anything; a service that all share is left time."""
     waits: list[float] = []
 
     async def job() -> None:
-        found = Discovery(refusing_address(), Catalog(CONFIG), 0, lambda news: None, 3, 200, pushed=pushed)
+        found = EndpointWatcher(
+            refusing_address(), EndpointListReader(CONFIG), 0, lambda news: None, 3, 200, is_agent=pushed
+        )
 
         async def noted(wait_s: float) -> None:
             waits.append(wait_s)
@@ -194,20 +202,22 @@
 
 
 @pytest.mark.parametrize("answered", [0, 1])
-async def test_of_two_watches_that_nobody_answered_either_may_be_when_the_outage_ends(
+async def test_either_unanswered_watch_may_be_accepted_after_outage(
     answered: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """What the agent gets at discovery's return counts as told at once: a watch has to be there by then."""
-    monkeypatch.setattr(discovery, "SILENT_S", 0.2)
+    monkeypatch.setattr(endpoint_watch, "SILENCE_LIMIT_S", 0.2)
 
     opened: asyncio.Queue[asyncio.StreamWriter] = asyncio.Queue()
-    heard: asyncio.Queue[News] = asyncio.Queue()
+    heard: asyncio.Queue[EndpointUpdate] = asyncio.Queue()
 
     async def play(writer: asyncio.StreamWriter) -> None:
         opened.put_nowait(writer)
         await asyncio.Event().wait()
 
-    found = Discovery(await Watch(play).start(), Catalog(CONFIG), 0, heard.put_nowait, 3, 200)
+    found = EndpointWatcher(
+        await Watch(play).start(), EndpointListReader(CONFIG), 0, heard.put_nowait, 3, 200
+    )
     task = asyncio.create_task(found.run())
     writers = [await opened.get(), await opened.get()]
     writers[answered].write(LIST)
@@ -216,16 +226,14 @@
 
 
 @pytest.mark.parametrize("phase", ["watching", "waiting", "connecting"])
-def test_a_move_is_followed_at_once_whatever_the_watch_is_at(
-    phase: str, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_changed_address_is_followed_at_once(phase: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """In the largest tier a try that is refused is followed by 40 s of waiting, and 4 s are what there is."""
 
     async def job() -> None:
-        heard: asyncio.Queue[News] = asyncio.Queue()
+        heard: asyncio.Queue[EndpointUpdate] = asyncio.Queue()
         new = await Watch(script(HEAD + chunk(catalog(9, [])))).start()
         old = refusing_address() if phase == "waiting" else await Watch(script(LIST)).start()
-        found = Discovery(old, Catalog(CONFIG), 0, heard.put_nowait, 3, 200)
+        found = EndpointWatcher(old, EndpointListReader(CONFIG), 0, heard.put_nowait, 3, 200)
         pause, reached = found.pause, asyncio.Event()
 
         async def paused(wait_s: float) -> None:
@@ -244,7 +252,7 @@
             loop = SimpleNamespace(
                 create_connection=held, create_future=asyncio.get_running_loop().create_future
             )
-            monkeypatch.setattr(discovery.asyncio, "get_running_loop", lambda: loop)
+            monkeypatch.setattr(endpoint_watch.asyncio, "get_running_loop", lambda: loop)
         task = asyncio.create_task(found.run())
         if phase == "waiting":
             await reached.wait()
@@ -259,8 +267,8 @@
     run(job(), within_s=6)
 
 
-def test_start_times_go_over_to_our_clock() -> None:
-    read = Catalog(CONFIG)
+def test_start_times_are_converted_to_this_clock() -> None:
+    read = EndpointListReader(CONFIG)
     started_us = read.start_times.started_us
     assert started_us("s", 0) == 0
     now_ms = time.time_ns() // 1_000_000
@@ -269,9 +277,11 @@
     assert started_us("c", 1) < 0  # before this machine's clock began, but not 'long ago'
 
 
-def test_entry_with_a_start_beyond_all_numbers_is_passed_over() -> None:
+def test_entry_with_infinite_start_time_is_left_out() -> None:
     odd = entry("s1", AT) | {"startedAtMs": float("inf")}
-    news = Catalog(CONFIG).news({"generation": 3, "reset": True, "instances": [odd, entry("s2", AT)]})
+    news = EndpointListReader(CONFIG).read(
+        {"generation": 3, "reset": True, "instances": [odd, entry("s2", AT)]}
+    )
     assert [server.name for server in news.event.endpoints] == ["s2"]
 
 
@@ -286,7 +296,7 @@
     gateway.close()
 
 
-async def test_peers_words_arrive_and_strangers_are_dropped() -> None:
+async def test_peer_messages_arrive_and_strangers_are_dropped() -> None:
     loop, heard = asyncio.get_running_loop(), asyncio.Queue()
     stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     ports = [refusing_address(), refusing_address()]
@@ -311,7 +321,9 @@
     """When each gateway of a tier comes back to a discovery that refuses, on a clock of the test's own."""
 
     async def tries(seed: int) -> list[float]:
-        found = Discovery(AT, Catalog(CONFIG), 1, lambda news: None, seed, doors, pushed=False)
+        found = EndpointWatcher(
+            AT, EndpointListReader(CONFIG), 1, lambda news: None, seed, doors, is_agent=False
+        )
         waits: list[float] = []
 
         async def refused() -> None:
@@ -331,14 +343,16 @@
     return [asyncio.run(tries(seed)) for seed in range(doors)]
 
 
-def test_a_tier_comes_back_to_discovery_no_faster_than_it_serves(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_tier_returns_no_faster_than_discovery_serves(monkeypatch: pytest.MonkeyPatch) -> None:
     """It serves some 7 calls a second then; what came back at once kept it from serving anybody."""
     times = sorted(time_s for gateway in first_tries(40, monkeypatch) for time_s in gateway)
     at_most = max(sum(start <= time_s < start + 4 for time_s in times) for start in range(30))
     assert at_most <= 4 / 0.13
-    small = first_tries(discovery.SMALL_TIER, monkeypatch)
+    small = first_tries(watch_backoff.SMALL_TIER_GATEWAYS, monkeypatch)
     waits = [after - before for gateway in small for before, after in itertools.pairwise([0.0, *gateway])]
-    assert max(waits) <= discovery.MOST_TOLD_WAIT_S  # its news is owed within 6 s, and it overbooks nobody
+    assert (
+        max(waits) <= watch_backoff.SMALL_TIER_MAX_BACKOFF_S
+    )  # its news is owed within 6 s, and it overbooks nobody
     few = first_tries(3, monkeypatch)
     assert max(gateway[0] for gateway in few) <= 0.6
     assert max(gateway[5] - gateway[4] for gateway in few) <= 2 * 4 * 0.3
--- a/tests/proxy/test_guards.py
+++ b/tests/proxy/test_guards.py
@@ -56,7 +56,7 @@
 
 
 @contextlib.asynccontextmanager
-async def told_by_hand(*listed: Backend) -> AsyncIterator[tuple[GatewayServer, socket.socket]]:
+async def driven_by_hand(*listed: Backend) -> AsyncIterator[tuple[GatewayServer, socket.socket]]:
     """A gateway whose endpoint list events are written by the test, in the turn that it chooses."""
     with socket.socket() as listener:
         listener.bind((HOST, 0))
@@ -92,12 +92,12 @@
 
 @pytest.mark.parametrize("lifecycle", ["DRAINING", "DELETED"])
 @pytest.mark.parametrize("dialled", [False, True])
-async def test_news_that_lie_unread_go_before_an_attempt(
+async def test_unread_list_events_go_before_an_attempt(
     lifecycle: str, dialled: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A process that stood still wakes up with a timer due and the news unread: the news come first."""
     backend = Backend()
-    async with told_by_hand(backend) as (gateway, watch):
+    async with driven_by_hand(backend) as (gateway, watch):
         results: list[AttemptResult] = []
         pool = gateway.backends.pools["s0"]
         if dialled:  # it waits for its connection, which comes up in the turn in which the news do
@@ -120,9 +120,9 @@
         assert gateway.backends.tally["deferred for news"] >= 1
 
 
-async def test_watch_that_is_never_read_out_holds_an_attempt_back_for_a_few_turns_only() -> None:
+async def test_unread_watch_defers_an_attempt_for_few_turns_only() -> None:
     backend = Backend()
-    async with told_by_hand(backend) as (gateway, _):
+    async with driven_by_hand(backend) as (gateway, _):
         results: list[AttemptResult] = []
         gateway.backends.list_events_are_unread = lambda: True
         stand_still()
@@ -131,7 +131,7 @@
         assert results == [AttemptResult.OK]
 
 
-async def test_nothing_is_sent_for_a_client_whose_end_lies_unread(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_nothing_is_sent_for_client_whose_end_is_unread(monkeypatch: pytest.MonkeyPatch) -> None:
     backend = Backend()
     async with front_door(backend) as (gateway, address):
         await leave_idle_connection(gateway, backend, monkeypatch)
@@ -148,7 +148,7 @@
         assert not gateway.guard.refusals
 
 
-async def test_nothing_is_sent_when_its_connection_comes_up_after_its_client_left_unread() -> None:
+async def test_nothing_is_sent_on_connection_up_after_client_left() -> None:
     """The client's end and the connection to the backend come in one turn."""
     backend = Backend()
     async with front_door(backend) as (gateway, address):
@@ -187,7 +187,7 @@
 
 
 @pytest.mark.refusals
-async def test_second_attempt_while_one_is_out_is_refused() -> None:
+async def test_second_attempt_in_flight_is_refused() -> None:
     async with held_request(query("a1")) as (gateway, _, backend):
         gateway.requests.send(SendAttempt("a1", "s0"))
         await until(lambda: backend.commands)
@@ -207,9 +207,7 @@
         (submit("a1", kind="book"), 1, Refusal.PAST_REPEAT_WINDOW),
     ],
 )
-async def test_repeat_that_is_not_allowed_is_refused(
-    command: bytes, may_have_run_us: int, refusal: Refusal
-) -> None:
+async def test_forbidden_repeat_is_refused(command: bytes, may_have_run_us: int, refusal: Refusal) -> None:
     async with held_request(command) as (gateway, exchange, backend):
         exchange.may_have_run_us = may_have_run_us
         gateway.requests.send(SendAttempt("a1", "s0"))
@@ -220,7 +218,7 @@
 
 
 @pytest.mark.refusals
-async def test_attempt_past_the_deadline_or_the_most_attempts_is_refused() -> None:
+async def test_attempt_past_deadline_or_maximum_is_refused() -> None:
     async with held_request(query("a1")) as (gateway, exchange, _):
         deadline_us, exchange.end_us = exchange.end_us, 1
         attempt = Attempt("a1", 0, "s0", lambda _: b"", lambda *_: None, may_send=gateway.requests.may_send)
@@ -239,7 +237,7 @@
 
 
 @pytest.mark.refusals
-async def test_attempt_to_a_backend_that_leaves_is_refused() -> None:
+async def test_attempt_to_a_leaving_backend_is_refused() -> None:
     backend = Backend()
     async with front_door(backend) as (gateway, _):
         results: list[AttemptResult] = []
@@ -252,7 +250,7 @@
 
 
 @pytest.mark.refusals
-async def test_close_on_which_an_answer_is_owed_is_refused() -> None:
+async def test_close_while_an_answer_is_owed_is_refused() -> None:
     async with held_request(query("a1")) as (gateway, exchange, _):
         connection = exchange.reply.connection
         connection.shut()
@@ -260,7 +258,7 @@
         assert not connection.transport.is_closing()
 
 
-async def test_requests_behind_a_long_value_that_breaks_get_their_answers() -> None:
+async def test_requests_behind_a_broken_long_value_are_answered() -> None:
     answers = {b"a1": None, b"a2": value(b"second")}
     backend = Backend(lambda words: answers[words[2]])
     async with front_door(backend) as (gateway, address):
@@ -278,7 +276,7 @@
         assert not gateway.guard.refusals
 
 
-async def test_no_further_command_is_read_while_a_long_value_is_passed_on() -> None:
+async def test_no_command_is_read_while_a_long_value_streams() -> None:
     """Its break ends the connection; what was not read the client sends on a new one."""
     backend = Backend(lambda words: LONG_HEAD + LONG[:1000])
     async with front_door(backend) as (gateway, address):
@@ -296,7 +294,7 @@
         assert not gateway.guard.refusals
 
 
-async def test_gap_of_the_event_loop_is_suspicious_for_a_few_turns() -> None:
+async def test_event_loop_gap_is_suspicious_for_few_turns() -> None:
     now = [1_000_000]
     watch = LoopWatch(lambda: now[0])
     watch.touch()  # the first of all
@@ -313,7 +311,7 @@
     assert watch.is_suspicious
 
 
-async def test_end_of_a_client_that_is_not_read_from_is_looked_for_at_once() -> None:
+async def test_end_of_a_paused_client_is_checked_at_once() -> None:
     """Where its reading is paused no gap is needed for the end to be unread."""
     backend = Backend()
     async with front_door(backend) as (gateway, address):
--- a/tests/proxy/test_handover.py
+++ b/tests/proxy/test_handover.py
@@ -45,7 +45,7 @@
     return later
 
 
-def test_quota_and_bans_go_on_in_the_next_process() -> None:
+def test_quota_and_bans_are_handed_over() -> None:
     world = World()
     world.tell(SetEjection("s1", True))
     for number in range(20):  # the whole burst
@@ -58,7 +58,7 @@
     assert of(SendAttempt, World().ask("b")) != []  # which a fresh start would send
 
 
-def test_ceiling_and_open_cap_are_kept_by_both_together() -> None:
+def test_ceiling_and_open_cap_hold_over_both_processes() -> None:
     plan = Plan(
         rate=100.0, burst=100.0, max_in_flight=2, ceiling_rate=10.0, ceiling_burst=4.0, ceiling_slack=1.0
     )
@@ -77,7 +77,7 @@
     assert later.gateway.overload.in_flight == 1 and not later.gateway.handover_peer.in_flight
 
 
-def test_spending_of_the_other_process_is_taken_from_the_quota() -> None:
+def test_peer_spending_is_taken_from_the_quota() -> None:
     world = World()
     later = successor(world)
     for word in of(HandoverSpend, world.ask("a", units=20.0)):
@@ -86,7 +86,7 @@
     assert (customer.share, customer.level) == (0.0, 0.0)
 
 
-def test_nothing_counts_against_a_ceiling_that_an_unheard_process_may_use_up() -> None:
+def test_ceiling_reserves_capacity_for_unknown_predecessor() -> None:
     plan = Plan(rate=100.0, burst=100.0, ceiling_rate=10.0, ceiling_burst=4.0)
     world = World(replace(SETTINGS, plans=(plan,)))
     world.tell(HandoverPeerUnknown())
@@ -97,7 +97,7 @@
     assert len(of(SendAttempt, world.run(100 * MS))) == 1
 
 
-def test_words_for_the_other_process_only_while_there_is_one() -> None:
+def test_peer_is_sent_messages_only_while_there_is_one() -> None:
     world = World()
     assert of(HandoverAttempt, world.ask("a")) == []
     world.tell(StartHandover())
@@ -115,7 +115,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(JSON)
-def test_what_is_no_state_is_a_value_error(value: object) -> None:
+def test_malformed_snapshot_is_a_value_error(value: object) -> None:
     with pytest.raises(ValueError):
         from_plain(GatewaySnapshot, value)
 
@@ -156,7 +156,7 @@
     return door
 
 
-def test_next_process_takes_over_and_no_request_is_lost(tmp_path: Path) -> None:
+def test_successor_takes_over_and_no_request_is_lost(tmp_path: Path) -> None:
     async def job() -> None:
         backend = Backend(lambda words: None if words[2] == b"a2" else b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n")
         async with doors(backend, tmp_path) as (config, started):
@@ -209,7 +209,7 @@
         b'{"version":1,"say":"odd"}\n',
     ],
 )
-def test_unsound_hand_over_is_a_fresh_start(
+def test_malformed_handover_is_a_fresh_start(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, answer: bytes
 ) -> None:
     monkeypatch.setattr(handover, "ANSWER_TIMEOUT_S", 0.2)
@@ -232,7 +232,7 @@
     run(job())
 
 
-def test_ceilings_wait_until_the_peers_address_is_free(tmp_path: Path) -> None:
+def test_ceilings_wait_until_the_peer_address_is_free(tmp_path: Path) -> None:
     async def job() -> None:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
             taken.bind((HOST, 0))
@@ -248,7 +248,7 @@
     run(job())
 
 
-def test_stranger_on_the_path_ends_nothing(tmp_path: Path) -> None:
+def test_stranger_at_the_handover_path_ends_nothing(tmp_path: Path) -> None:
     async def job() -> None:
         async with doors(Backend(), tmp_path) as (config, started):
             door = await start(config, started)
@@ -263,7 +263,7 @@
     run(job())
 
 
-def test_line_when_it_is_of_another_version_then_is_an_error() -> None:
+def test_line_of_another_version_is_an_error() -> None:
     lines: list[str] = []
     connection = handover.HandoverConnection(
         lambda _, name, values: lines.append(name), lambda connection: None
--- a/tests/proxy/test_local_failures.py
+++ b/tests/proxy/test_local_failures.py
@@ -8,9 +8,11 @@
 import pytest
 
 from orchidhatch.gateway.attempts import AttemptResult
-from orchidhatch.proxy import backend_pool, endpoint_watch, server
+from orchidhatch.proxy import backend_pool, endpoint_watch, server, watch_backoff
 from orchidhatch.proxy.config import ConfigError
-from tests.proxy.test_backends import Sender
+from orchidhatch.proxy.endpoint_list_reader import EndpointListReader
+from orchidhatch.proxy.endpoint_watch import EndpointWatcher
+from tests.proxy.test_backend_pool import Sender
 from tests.sockets import CONFIG, Backend, Client, Watch, front_door, query, refusing_address
 
 LOCAL = [
@@ -56,7 +58,7 @@
     return loop
 
 
-async def test_connects_that_fail_here_cost_no_request_and_no_backend_its_name(
+async def test_local_connect_failures_cost_no_request_and_no_score(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     every = [Backend(), Backend(), Backend()]
@@ -73,7 +75,7 @@
 
 
 @pytest.mark.parametrize("error", LOCAL, ids=errno.errorcode.get)
-async def test_dial_that_fails_here_is_tried_again(monkeypatch: pytest.MonkeyPatch, error: int) -> None:
+async def test_locally_failed_dial_is_retried(monkeypatch: pytest.MonkeyPatch, error: int) -> None:
     sender = Sender(await Backend().start())
     loop = fail_connects(monkeypatch, backend_pool, 3, error)
     sender.send()
@@ -82,7 +84,7 @@
     sender.backends.close()
 
 
-async def test_dial_that_goes_on_failing_here_says_nothing_of_the_backend(
+async def test_lasting_local_failure_is_not_the_backends(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     sender = Sender(await Backend().start())
@@ -99,7 +101,7 @@
     assert await sender.result() is AttemptResult.CONNECT_FAILED
 
 
-async def test_unexpected_error_of_a_dial_ends_the_attempt_and_leaks_no_connection(
+async def test_unexpected_dial_error_leaks_no_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     sender = Sender(await Backend().start())
@@ -113,7 +115,7 @@
     assert sender.backends.held == 0 and sender.backends.pools["s"].connecting == 0
 
 
-async def waits_between_watches(found: endpoint_watch.Discovery, count: int) -> list[float]:
+async def waits_between_watches(found: EndpointWatcher, count: int) -> list[float]:
     """How long it waits between so many watches that fail, without the time going by."""
     waits: list[float] = []
     enough = asyncio.Event()
@@ -131,30 +133,30 @@
     return waits
 
 
-async def test_watch_that_cannot_be_opened_here_is_opened_soon_in_a_large_tier(
+async def test_locally_failed_watch_is_retried_soon_in_large_tier(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The waits that spare an overbooked discovery are for what discovery did."""
-    found = endpoint_watch.Discovery(
-        refusing_address(), endpoint_watch.Catalog(CONFIG), 0, lambda news: None, 3, 200, pushed=False
+    found = EndpointWatcher(
+        refusing_address(), EndpointListReader(CONFIG), 0, lambda news: None, 3, 200, is_agent=False
     )
     fail_connects(monkeypatch, endpoint_watch, 10_000, errno.ENOBUFS)
-    assert max(await waits_between_watches(found, 20)) <= endpoint_watch.MOST_BACKOFF_S
+    assert max(await waits_between_watches(found, 20)) <= watch_backoff.MAX_SHORT_BACKOFF_S
 
 
-async def test_agent_that_rejects_a_watch_is_asked_again_within_a_second_in_a_large_tier() -> None:
+async def test_rejected_watch_is_retried_within_a_second() -> None:
     """As one does while its policy lease has expired: what it hears once it has it again counts as told."""
 
     async def reject(writer: asyncio.StreamWriter) -> None:
         writer.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 
-    found = endpoint_watch.Discovery(
-        await Watch(reject).start(), endpoint_watch.Catalog(CONFIG), 0, lambda news: None, 3, 200
+    found = EndpointWatcher(
+        await Watch(reject).start(), EndpointListReader(CONFIG), 0, lambda news: None, 3, 200
     )
-    assert max(await waits_between_watches(found, 8)) <= endpoint_watch.MOST_BACKOFF_S
+    assert max(await waits_between_watches(found, 8)) <= watch_backoff.MAX_SHORT_BACKOFF_S
 
 
-async def test_start_opens_its_sockets_again_where_that_fails_for_a_moment(
+async def test_start_retries_sockets_that_fail_briefly(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     tries = 0
@@ -171,7 +173,7 @@
     assert sum("ENOBUFS" in record.getMessage() for record in caplog.records) == 3
 
 
-async def test_start_that_cannot_open_its_sockets_says_why(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_start_without_sockets_reports_why(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(server, "OPEN_WITHIN_S", 0.02)
 
     async def open_socket() -> None:
@@ -181,7 +183,7 @@
         await server.open_at_start(open_socket)
 
 
-async def test_configuration_that_cannot_be_read_at_the_signal_is_read_soon_after(
+async def test_unreadable_configuration_is_read_again_soon(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     from orchidhatch.proxy import reload_signal
@@ -202,7 +204,7 @@
     await applied.wait()
 
 
-async def test_configuration_that_stays_unusable_is_left_in_the_end(
+async def test_unusable_configuration_is_abandoned_in_the_end(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     from orchidhatch.proxy import reload_signal
@@ -221,7 +223,7 @@
     assert reads == reload_signal.MAX_ATTEMPTS
 
 
-def test_lack_of_sockets_here_says_nothing_of_a_backend() -> None:
+def test_local_failure_is_uninformative_of_the_backend() -> None:
     """What waits for nothing but this gateway's own bound is not booked on the server."""
     from orchidhatch.gateway.attempts import UNINFORMATIVE_RESULTS
     from orchidhatch.gateway.retries import FREE_RETRIES
--- a/tests/proxy/test_main.py
+++ b/tests/proxy/test_main.py
@@ -134,7 +134,7 @@
         ),
     ],
 )
-def test_unusable_bound_is_told_by_its_key(tmp_path: Path, key: str, values: dict[str, object]) -> None:
+def test_unusable_bound_is_reported_by_its_key(tmp_path: Path, key: str, values: dict[str, object]) -> None:
     with pytest.raises(ConfigError) as caught:
         load(write(tmp_path, config(**values)))
     assert key in str(caught.value) and "\n" not in str(caught.value)
@@ -198,7 +198,7 @@
     assert await process.wait() == 0
 
 
-async def test_hang_up_moves_the_watch_and_never_ends_the_program(tmp_path: Path) -> None:
+async def test_sighup_moves_the_watch_and_never_ends_the_process(tmp_path: Path) -> None:
     moved: asyncio.Queue[str] = asyncio.Queue()
 
     async def script(writer: asyncio.StreamWriter) -> None:
@@ -222,7 +222,7 @@
     assert await process.wait() == 0
 
 
-async def test_hang_up_amid_the_start_is_answered_once_it_can_be(tmp_path: Path) -> None:
+async def test_sighup_during_start_is_handled_once_started(tmp_path: Path) -> None:
     """It comes while the configuration is read, which is replaced meanwhile; what counts is the new one."""
 
     moved = asyncio.Event()
@@ -254,7 +254,7 @@
     assert await process.wait() == 0
 
 
-def test_run_lets_no_hang_up_end_what_it_starts() -> None:
+def test_run_command_ignores_sighup() -> None:
     """Until the program itself has its first turn."""
     command = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
     probe = command.replace(".venv/bin/python -m orchidhatch.proxy", "grep SigIgn /proc/self/status")
@@ -297,7 +297,7 @@
     assert await process.wait() == 0
 
 
-async def test_lack_of_descriptors_is_told_and_survived(tmp_path: Path) -> None:
+async def test_lack_of_descriptors_is_logged_and_survived(tmp_path: Path) -> None:
     process, address = await start(tmp_path, Backend(), limit=1024)
     client = await Client.open(address)
     request = "c=read,t=team,d=1500"
--- a/tests/proxy/test_management.py
+++ b/tests/proxy/test_management.py
@@ -68,7 +68,7 @@
             assert (await call(gateway, "POST /backends/s0/maint", more))[0] == status
 
 
-async def test_slow_callers_crowd_out_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_slow_callers_do_not_block_others(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(management, "MOST_CONNECTIONS", 4)
 
     async with operated(Backend()) as (gateway, _):
@@ -83,7 +83,7 @@
             writer.close()
 
 
-async def test_whole_call_must_come_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_incomplete_call_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(management, "PATIENCE_S", 0.05)
 
     async with operated(Backend()) as (gateway, _):
@@ -97,7 +97,7 @@
     assert 'proxy_errored_total{group="a\\"\\\\\\n"} 0\n' in Figures(['a"\\\n']).text()
 
 
-async def test_figures_count_since_the_start() -> None:
+async def test_counters_count_since_the_start() -> None:
     answers = {b"a1": value(b"ok"), b"a2": b"-BUSY\r\n", b"a3": b"-ERR failed\r\n"}
 
     backend = Backend(lambda words: answers.get(words[2]))
@@ -123,7 +123,7 @@
         assert found["proxy_cluster_size"] == 1 and found['proxy_answered_total{group="book"}'] == 0
 
 
-async def test_backend_left_out_gets_nothing_until_taken_back() -> None:
+async def test_ejected_backend_gets_nothing_until_readmitted() -> None:
     backends = [Backend(), Backend()]
     async with operated(*backends) as (gateway, address):
         client = await Client.open(address)
@@ -140,7 +140,7 @@
             number += 1
 
 
-async def test_backend_left_out_loses_what_waits_for_a_connection() -> None:
+async def test_ejected_backend_loses_waiting_attempts() -> None:
     backend = Backend()
     async with operated(backend) as (gateway, address):
         client = await Client.open(address)
@@ -177,7 +177,7 @@
         assert await again.ask(query("a4")) == b"ok"
 
 
-async def test_nothing_calls_back_a_program_that_ends() -> None:
+async def test_ending_process_cannot_be_called_back() -> None:
     async with operated(Backend()) as (gateway, address):
         client = await Client.open(address)
         drain = asyncio.create_task(gateway.drain())
--- a/tests/proxy/test_wall_clock.py
+++ b/tests/proxy/test_wall_clock.py
@@ -6,7 +6,7 @@
 import pytest
 
 from orchidhatch.gateway.endpoints import EndpointListKind
-from orchidhatch.proxy.endpoint_watch import Catalog, News
+from orchidhatch.proxy.endpoint_list_reader import EndpointListReader, EndpointUpdate
 from tests.sockets import CONFIG, HOST, catalog, entry
 
 AT = (HOST, 6379)
@@ -36,36 +36,38 @@
     return time.monotonic_ns() // 1000
 
 
-def news_of(read: Catalog, version: int, name: str, started_ms: int, reset: bool = False) -> News:
-    return read.news(json.loads(catalog(version, [entry(name, AT, started_ms=started_ms)], reset)))
+def news_of(
+    read: EndpointListReader, version: int, name: str, started_ms: int, reset: bool = False
+) -> EndpointUpdate:
+    return read.read(json.loads(catalog(version, [entry(name, AT, started_ms=started_ms)], reset)))
 
 
-def started_us(news: News) -> int:
+def started_us(news: EndpointUpdate) -> int:
     return news.event.endpoints[0].started_us
 
 
-def test_backend_that_restarts_after_a_step_of_the_clock_is_as_cold_as_it_is(clock: SteppedClock) -> None:
+def test_restart_after_clock_step_is_dated_right(clock: SteppedClock) -> None:
     for step_s in STEPS_S:
         clock.off_s = 0
-        read = Catalog(CONFIG)
+        read = EndpointListReader(CONFIG)
         news_of(read, 1, "s1", clock.now_ms() - 3 * HOUR_S * 1000, reset=True)
         clock.off_s = step_s
         assert abs(started_us(news_of(read, 2, "s1", clock.now_ms())) - now_us()) < NEAR_US, step_s
 
 
-def test_start_told_by_another_machines_stepped_clock_lies_between_the_last_news_and_now(
+def test_start_by_a_stepped_clock_lies_after_last_update(
     clock: SteppedClock,
 ) -> None:
     for step_s in STEPS_S:
-        read = Catalog(CONFIG)
+        read = EndpointListReader(CONFIG)
         before = now_us()
         news_of(read, 1, "s1", 0, reset=True)
         found = started_us(news_of(read, 2, "s1", clock.now_ms() + step_s * 1000))
         assert before <= found <= now_us(), step_s
 
 
-def test_start_that_was_told_stays_as_it_was_over_a_step(clock: SteppedClock) -> None:
-    read = Catalog(CONFIG)
+def test_known_start_stays_over_a_clock_step(clock: SteppedClock) -> None:
+    read = EndpointListReader(CONFIG)
     told_ms = clock.now_ms() - 5000
     first = started_us(news_of(read, 1, "s1", told_ms, reset=True))
     assert abs(first - (now_us() - 5_000_000)) < NEAR_US
@@ -75,8 +77,8 @@
         assert started_us(news_of(read, 3, "s1", told_ms)) == first
 
 
-def test_start_of_one_that_left_the_list_and_returns_stays_as_it_was(clock: SteppedClock) -> None:
-    read = Catalog(CONFIG)
+def test_start_stays_for_backend_that_returns_to_the_list(clock: SteppedClock) -> None:
+    read = EndpointListReader(CONFIG)
     told_ms = clock.now_ms() - 5000
     first = started_us(news_of(read, 1, "s1", told_ms, reset=True))
     news_of(read, 2, "s2", 0, reset=True)
@@ -84,28 +86,28 @@
 
 
 @pytest.mark.parametrize("step_s", [0, *STEPS_S])
-def test_at_the_start_no_server_is_taken_for_one_of_the_future(clock: SteppedClock, step_s: int) -> None:
-    read = Catalog(CONFIG)
+def test_no_start_lies_in_the_future_at_process_start(clock: SteppedClock, step_s: int) -> None:
+    read = EndpointListReader(CONFIG)
     told_ms = clock.now_ms() - 1000
     clock.off_s = step_s
     known = json.loads(catalog(1, [entry("s1", AT, started_ms=told_ms)]))
-    found = started_us(read.news(known, EndpointListKind.SAVED))
+    found = started_us(read.read(known, EndpointListKind.SAVED))
     assert found <= now_us()
     assert found == min(found, now_us() - 1_000_000 - step_s * 1_000_000 + NEAR_US)
 
 
 @pytest.mark.parametrize("step_s", STEPS_S)
-def test_successor_goes_on_from_its_predecessors_starts(clock: SteppedClock, step_s: int) -> None:
-    before, after = Catalog(CONFIG), Catalog(CONFIG)
+def test_successor_adopts_predecessors_start_times(clock: SteppedClock, step_s: int) -> None:
+    before, after = EndpointListReader(CONFIG), EndpointListReader(CONFIG)
     told_ms = clock.now_ms() - 5000
     first = started_us(news_of(before, 7, "s1", told_ms, reset=True))
     clock.off_s = step_s
     assert started_us(news_of(after, 7, "s1", told_ms, reset=True)) != first
-    after.adopt_starts(before.known(), {"s1": first})
-    assert started_us(after.news(after.known(), EndpointListKind.FULL)) == first
+    after.adopt_starts(before.snapshot(), {"s1": first})
+    assert started_us(after.read(after.snapshot(), EndpointListKind.FULL)) == first
 
 
-def test_only_start_times_that_lists_tell_are_reckoned_by_the_wall_clock() -> None:
+def test_only_listed_start_times_use_the_wall_clock() -> None:
     """In the gateway and its sockets nothing else reads it."""
     from pathlib import Path
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -31,7 +31,6 @@
         "proxy/config.py",
         "proxy/configuration_reload.py",
         "proxy/cpu_accounting.py",
-        "proxy/endpoint_watch.py",
         "proxy/guards.py",
         "proxy/idle_limit.py",
         "proxy/listening.py",
