--- a/orchidhatch/proxy/backend_replies.py
+++ b/orchidhatch/proxy/backend_replies.py
@@ -1,4 +1,4 @@
-"""What a backend's answer to a command means."""
+"""What a backend's reply to a command means."""
 
 import logging
 import math
@@ -12,20 +12,25 @@
 
 
 def read_reply(reply: object) -> tuple[AttemptResult, bytes | None, LoadReport | None]:
-    """What a backend's answer means."""
+    """The result of an attempt by its reply, with the value and the load report where it has them."""
     if isinstance(reply, ReplyError):
-        text = reply
-        report = text.rpartition(" ")[2].encode()
-        busy = text == "BUSY" or text.startswith("BUSY ")
-        if not busy and not text.startswith("ERR"):
-            log.error("a backend answers %s", text)
-        return (AttemptResult.REJECTED if busy else AttemptResult.ERROR), None, read_load(report)
+        return read_error(reply)
     if isinstance(reply, list) and reply and isinstance(reply[0], bytes):
         return AttemptResult.OK, reply[0], read_load(reply[2] if len(reply) > 2 else None)
-    log.error("a backend's answer is of no known form: %.60r", reply)
+    log.error("backend reply of unknown form: reply=%.60r", reply)
     return AttemptResult.ERROR, None, None  # in doubt: it may have run
 
 
+def read_error(text: ReplyError) -> tuple[AttemptResult, None, LoadReport | None]:
+    """The result of an attempt by its error line, whose last word may be a load report."""
+    report = read_load(text.rpartition(" ")[2].encode())
+    if text == "BUSY" or text.startswith("BUSY "):
+        return AttemptResult.REJECTED, None, report
+    if not text.startswith("ERR"):
+        log.error("backend error of unknown kind: error=%s", text)
+    return AttemptResult.ERROR, None, report
+
+
 def read_load(text: object) -> LoadReport | None:
     """A load report `name=value,...`; one that is malformed says nothing."""
     if not isinstance(text, bytes) or b"=" not in text:
--- a/orchidhatch/proxy/configuration_reload.py
+++ b/orchidhatch/proxy/configuration_reload.py
@@ -51,7 +51,7 @@
         )
         self.dispatcher.run_batch()
         self.active.replace_policy(config)
-        self.peers.mark = new.policy_mark
+        self.peers.policy_mark = new.policy_mark
         self.policy_guard.told = config.policy
         self.policy_guard.begin(barred=False)
         log.info("goes by %s", config.policy.shown())
--- a/orchidhatch/proxy/management.py
+++ b/orchidhatch/proxy/management.py
@@ -1,13 +1,15 @@
-"""The calls of operators: HTTP/1.1 at an address of its own, one call to a connection.
+"""The management server: operators' calls over HTTP/1.1, one call to a connection.
 
 A call is answered in the turn of the loop in which its last byte arrives, so every connection that stays
-is one whose call is not whole, or whose answer is not read. These are few, and the oldest makes room.
+is one whose call is incomplete, or whose answer is not read. Their number is bounded: the oldest is closed.
 """
 
 import asyncio
 import logging
 import time
 from collections.abc import Callable
+from dataclasses import dataclass
+from http import HTTPStatus
 from urllib.parse import unquote
 
 import h11
@@ -18,35 +20,60 @@
 
 log = logging.getLogger(__name__)
 
-MOST_CONNECTIONS = 16
-MOST_HEAD = 4096  # bytes
-MOST_BODY = 4096  # bytes; no call needs one
-PATIENCE_S = 5.0  # for a whole call, and for its answer to be read
+MAX_CONNECTIONS = 16
+MAX_HEAD_BYTES = 4096
+MAX_BODY_BYTES = 4096
+"""No call needs a body."""
+CALL_TIMEOUT_S = 5.0
+"""For a whole call, and for its answer to be read."""
+PARAMETER = "{id}"
+"""Stands for one segment of a path."""
 
-Answer = tuple[int, str]  # the status and the text
-Call = Callable[[], Answer]
+Answer = tuple[int, str]
+"""The status and the text."""
 
 
-def fits(pattern: str, segment: str) -> bool:
-    return pattern in (segment, "{id}")
+@dataclass(frozen=True, slots=True)
+class RoutedAnswer:
+    """An answer, and the methods that the path allows where the call's is none of them."""
+
+    answer: Answer
+    allowed_methods: str = ""
 
 
 class Calls:
-    """The paths and what answers them; `{id}` stands for one segment."""
+    """The calls by method and path; PARAMETER in a path stands for a segment that is given to the handler."""
 
     def __init__(self, calls: dict[tuple[str, str], Callable[..., Answer]]) -> None:
-        self.calls = {(method, tuple(path.split("/"))): call for (method, path), call in calls.items()}
+        self.handlers = {
+            (method, tuple(path.split("/"))): handler for (method, path), handler in calls.items()
+        }
 
-    def answer(self, method: str, target: str) -> tuple[Answer, str]:
-        """The answer, and the methods that the path allows if this one is none of them."""
-        path = tuple(map(unquote, target.partition("?")[0].split("/")))
+    def answer(self, method: str, target: str) -> RoutedAnswer:
+        """Answer a call by its handler, or say why there is none."""
+        segments = tuple(map(unquote, target.partition("?")[0].split("/")))
         allowed = []
-        for (its_method, pattern), call in self.calls.items():
-            if len(pattern) == len(path) and all(map(fits, pattern, path)):
-                if its_method == method:
-                    return call(*[q for p, q in zip(pattern, path, strict=True) if p == "{id}"]), ""
-                allowed.append(its_method)
-        return ((405, "not this method"), ", ".join(allowed)) if allowed else ((404, "no such call"), "")
+        for (handled_method, pattern), handler in self.handlers.items():
+            if not matches(pattern, segments):
+                continue
+            if handled_method == method:
+                return RoutedAnswer(handler(*parameters(pattern, segments)))
+            allowed.append(handled_method)
+        if allowed:
+            return RoutedAnswer((HTTPStatus.METHOD_NOT_ALLOWED, "not this method"), ", ".join(allowed))
+        return RoutedAnswer((HTTPStatus.NOT_FOUND, "no such call"))
+
+
+def matches(pattern: tuple[str, ...], segments: tuple[str, ...]) -> bool:
+    """Whether a path fits a pattern, segment by segment."""
+    if len(pattern) != len(segments):
+        return False
+    return all(expected in (segment, PARAMETER) for expected, segment in zip(pattern, segments, strict=True))
+
+
+def parameters(pattern: tuple[str, ...], segments: tuple[str, ...]) -> list[str]:
+    """The segments that stand where the pattern has a parameter."""
+    return [segment for expected, segment in zip(pattern, segments, strict=True) if expected == PARAMETER]
 
 
 class CallConnection(asyncio.Protocol):
@@ -54,59 +81,67 @@
 
     def __init__(self, management: "Management") -> None:
         self.management = management
-        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MOST_HEAD)
+        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.request: h11.Request | None = None
-        self.body = 0
+        self.body_bytes = 0
         self.transport: asyncio.Transport | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.opened_s = time.monotonic()
 
     def connection_made(self, transport: asyncio.Transport) -> None:
+        """An operator has connected."""
         self.transport = transport
-        self.timer = asyncio.get_running_loop().call_later(PATIENCE_S, self.too_late)
+        self.timer = asyncio.get_running_loop().call_later(CALL_TIMEOUT_S, self.time_out)
         self.management.opened(self)
 
     def data_received(self, data: bytes) -> None:
-        was = self.management.account.enter(Place.MANAGEMENT)
+        """Read what has come, unless the call has been answered."""
+        previous_place = self.management.account.enter(Place.MANAGEMENT)
         try:
-            if not self.done():
-                self.read(data)
+            if not self.has_ended():
+                self._read(data)
         finally:
-            self.management.account.leave(was)
+            self.management.account.leave(previous_place)
 
-    def read(self, data: bytes) -> None:
+    def _read(self, data: bytes) -> None:
         try:
             self.http.receive_data(data)
             if self.http.they_are_waiting_for_100_continue:
                 self.transport.write(self.http.send(h11.InformationalResponse(status_code=100, headers=[])))
-            while not self.done() and (event := self.http.next_event()) not in (h11.NEED_DATA, h11.PAUSED):
-                self.take(event)
+            while not self.has_ended():
+                event = self.http.next_event()
+                if event in (h11.NEED_DATA, h11.PAUSED):
+                    break
+                self._on_http_event(event)
         except h11.RemoteProtocolError as error:
             self.reply((error.error_status_hint, str(error)))
 
-    def take(self, event: h11.Event) -> None:
+    def _on_http_event(self, event: h11.Event) -> None:
         if isinstance(event, h11.Request):
             self.request = event
         elif isinstance(event, h11.Data):
-            self.body += len(event.data)
-            if self.body > MOST_BODY:
-                self.reply((413, "too long a body"))
+            self.body_bytes += len(event.data)
+            if self.body_bytes > MAX_BODY_BYTES:
+                self.reply((HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "too long a body"))
         elif isinstance(event, h11.EndOfMessage):
-            method, target = self.request.method.decode(), self.request.target.decode()
-            try:
-                answer, allow = self.management.calls.answer(method, target)
-            except Exception:
-                log.exception("cannot answer %s %s", method, target)
-                answer, allow = (500, "internal error"), ""
-            self.reply(answer, allow)
+            self._answer_call(self.request.method.decode(), self.request.target.decode())
         elif isinstance(event, h11.ConnectionClosed):
             self.transport.close()
 
-    def done(self) -> bool:
+    def _answer_call(self, method: str, target: str) -> None:
+        try:
+            routed = self.management.calls.answer(method, target)
+        except Exception:
+            log.exception("management call failed: method=%s target=%s", method, target)
+            routed = RoutedAnswer((HTTPStatus.INTERNAL_SERVER_ERROR, "internal error"))
+        self.reply(routed.answer, routed.allowed_methods)
+
+    def has_ended(self) -> bool:
         """Whether it has been answered or has ended; no more is read."""
         return self.http.our_state in (h11.DONE, h11.MUST_CLOSE, h11.CLOSED) or self.transport.is_closing()
 
-    def reply(self, answer: Answer, allow: str = "") -> None:
+    def reply(self, answer: Answer, allowed_methods: str = "") -> None:
+        """Answer the call and close the connection."""
         self.management.waits.note(round((time.monotonic() - self.opened_s) * 1e6))
         status, text = answer
         body = text.rstrip("\n").encode(errors="replace") + b"\n"
@@ -114,24 +149,28 @@
             ("Content-Type", "text/plain; charset=utf-8"),
             ("Content-Length", str(len(body))),
             ("Connection", "close"),
-        ] + ([("Allow", allow)] if allow else [])
+        ]
+        if allowed_methods:
+            headers.append(("Allow", allowed_methods))
         data = b""
         if self.http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             data = self.http.send(h11.Response(status_code=status, headers=headers))
-            bodiless = self.request and self.request.method == b"HEAD"
-            data += b"" if bodiless else self.http.send(h11.Data(data=body))
+            has_body = self.request is None or self.request.method != b"HEAD"
+            if has_body:
+                data += self.http.send(h11.Data(data=body))
             self.http.send(h11.EndOfMessage())
         self.transport.write(data)
         self.transport.close()
 
-    def too_late(self) -> None:
-        """Its time is over: for the call, or else for reading the answer."""
-        if self.done():
+    def time_out(self) -> None:
+        """End it over its time: for the call, or else for reading the answer."""
+        if self.has_ended():
             self.transport.abort()
         else:
-            self.reply((408, "no whole call came in time"))
+            self.reply((HTTPStatus.REQUEST_TIMEOUT, "no whole call came in time"))
 
     def connection_lost(self, error: Exception | None) -> None:
+        """The connection is closed."""
         self.timer.cancel()
         self.management.connections.pop(self, None)
 
@@ -140,10 +179,13 @@
     """Listens for calls; the connections are bounded, and the oldest makes room for a new one."""
 
     def __init__(self, calls: Calls, account: Account | None = None) -> None:
-        self.calls, self.account = calls, account or Account()
+        self.calls = calls
+        self.account = account or Account()
         self.connections: dict[CallConnection, None] = {}
         self.server: asyncio.Server | None = None
-        self.waits, self.crowded_out = Waits(), 0
+        self.waits = Waits()
+        self.evicted = 0
+        """Connections that were closed for new ones, since the start."""
 
     async def start(self, host: str, port: int) -> None:
         """Serve at the address. Raises OSError."""
@@ -152,23 +194,26 @@
             self.server = await loop.create_server(lambda: CallConnection(self), sock=listening)
 
     def opened(self, connection: CallConnection) -> None:
+        """Take a new connection; the oldest is closed where there are too many."""
         self.connections[connection] = None
-        if len(self.connections) > MOST_CONNECTIONS:
-            self.crowded_out += 1
+        if len(self.connections) > MAX_CONNECTIONS:
+            self.evicted += 1
             next(iter(self.connections)).transport.abort()
 
     def line(self) -> Line:
+        """The connections as a wait queue, for the metrics page."""
         oldest_s = min((one.opened_s for one in self.connections), default=time.monotonic())
         return Line(
             "management",
-            MOST_CONNECTIONS,
+            MAX_CONNECTIONS,
             len(self.connections),
             round((time.monotonic() - oldest_s) * 1e6),
-            self.crowded_out,
+            self.evicted,
             self.waits,
         )
 
     def close(self) -> None:
+        """Stop listening, and close all connections."""
         if self.server:
             self.server.close()
         for connection in list(self.connections):
--- a/orchidhatch/proxy/peers.py
+++ b/orchidhatch/proxy/peers.py
@@ -1,4 +1,4 @@
-"""Datagrams between the front doors of a tier."""
+"""Gossip datagrams between the gateways of a tier."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,65 +10,79 @@
 from orchidhatch.proxy.cpu_accounting import Account, Place
 from orchidhatch.proxy.wait_queues import Waits
 
-MOST_UNSENT = 16 * 1024  # bytes that wait for the socket; what comes then is dropped, as words may be lost
+MAX_UNSENT_BYTES = 16 * 1024
+"""Bytes that wait for the socket; past that datagrams are dropped, as they may be on the way."""
 
 
 class Peers(asyncio.DatagramProtocol):
-    """Words to and from the other front doors; what strangers send or what is malformed is dropped."""
+    """Datagrams to and from the other gateways; what strangers send or what is malformed is dropped."""
 
     def __init__(
         self,
         addresses: tuple[Address, ...],
-        me: int,
-        heard: Callable[[PeerMessage], None],
+        gateway_index: int,
+        on_message: Callable[[PeerMessage], None],
         account: Account | None = None,
     ) -> None:
+        self.addresses = addresses
+        self.gateway_index = gateway_index
+        self.on_message = on_message
         self.account = account or Account()
-        self.addresses, self.me, self.heard = addresses, me, heard
-        self.mark = 0  # of the policy that our words go by
-        self.senders = {address: number for number, address in enumerate(addresses) if number != me}
+        self.policy_mark = 0
+        """Of the policy that the messages from here go by."""
+        self.senders = {address: index for index, address in enumerate(addresses) if index != gateway_index}
         self.transport: asyncio.DatagramTransport | None = None
-        self.waits, self.clogged = Waits(), False
-        self.dropped = self.malformed = self.strange = 0  # datagrams, since the start
+        self.is_writable = True
+        self.waits = Waits()
+        # Datagrams since the start: not sent, unreadable, and from addresses of no peer.
+        self.dropped = 0
+        self.malformed = 0
+        self.strange = 0
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:
+        """The socket is open."""
         self.transport = transport
-        transport.set_write_buffer_limits(MOST_UNSENT)
+        transport.set_write_buffer_limits(MAX_UNSENT_BYTES)
 
     def datagram_received(self, data: bytes, address: Address) -> None:
-        was = self.account.enter(Place.PEERS)
+        """Read a datagram."""
+        previous_place = self.account.enter(Place.PEERS)
         try:
-            self.read(data, self.senders.get(address))
+            self._read(data, self.senders.get(address))
         finally:
-            self.account.leave(was)
+            self.account.leave(previous_place)
 
-    def read(self, data: bytes, sender: int | None) -> None:
+    def _read(self, data: bytes, sender: int | None) -> None:
         if sender is None:
             self.strange += 1
             return
-        words, sightings = unpack_message(data)
-        if words:
-            self.heard(PeerMessage(sender, words, sightings, mark_of(data)))
+        messages, observations = unpack_message(data)
+        if messages:
+            self.on_message(PeerMessage(sender, messages, observations, mark_of(data)))
         else:
             self.malformed += 1
 
     def error_received(self, error: OSError) -> None:
-        """A peer that is down may show as an error here; words may be lost in any case."""
+        """A peer that is down may show as an error here; datagrams may be lost in any case."""
 
     def pause_writing(self) -> None:
-        self.clogged = True
+        """The socket takes no more for now."""
+        self.is_writable = False
 
     def resume_writing(self) -> None:
-        self.clogged = False
+        """The socket takes datagrams again."""
+        self.is_writable = True
 
-    def tell(self, action: SendGossip) -> None:
+    def send(self, action: SendGossip) -> None:
+        """Send the messages to their peer; they are dropped where the socket takes no more."""
         self.waits.note(action.waited_us)
-        if self.clogged:
+        if not self.is_writable:
             self.dropped += 1
-        elif self.transport and action.peer != self.me and action.peer < len(self.addresses):
-            for data in pack_message(action.messages, action.observations, self.mark):
-                self.transport.sendto(data, self.addresses[action.peer])
+        elif self.transport and action.peer != self.gateway_index and action.peer < len(self.addresses):
+            for datagram in pack_message(action.messages, action.observations, self.policy_mark):
+                self.transport.sendto(datagram, self.addresses[action.peer])
 
     def close(self) -> None:
+        """Close the socket."""
         if self.transport:
             self.transport.close()
--- a/orchidhatch/proxy/server.py
+++ b/orchidhatch/proxy/server.py
@@ -112,7 +112,7 @@
         )
         self.clients.set_pool(config.memory_mb)
         self.peers = Peers(config.peers, config.settings.gateway_index, self.dispatcher.post, self.account)
-        self.peers.mark = config.settings.policy_mark
+        self.peers.policy_mark = config.settings.policy_mark
 
     def _create_endpoint_watch(self, config: Config) -> None:
         self.catalog = EndpointListReader(config)
@@ -200,7 +200,7 @@
             Reject: (Place.CLIENTS, requests.reject),
             Fail: (Place.CLIENTS, requests.fail),
             SetTimer: (Place.MODULE, self.dispatcher.set_timer),
-            SendGossip: (Place.PEERS, self.peers.tell),
+            SendGossip: (Place.PEERS, self.peers.send),
             LogLine: (Place.LOG, log_core_line),
             WaitTimes: (Place.MODULE, self.metrics_page.add_queued_time),
             CloseIdleConnections: (Place.BACKENDS, lambda action: self.backends.close_idle(action.server)),
--- a/tests/proxy/test_endpoint_watch.py
+++ b/tests/proxy/test_endpoint_watch.py
@@ -308,7 +308,7 @@
         stranger.sendto(pack_message(words[:1])[0], ports[0])
     friend.transport.sendto(b"x" * 7, ports[0])
     friend.transport.sendto(pack_message(words)[0] * 2, ports[0])  # longer than the wire allows
-    friend.tell(SendGossip(0, words))
+    friend.send(SendGossip(0, words))
     got: tuple[GossipMessage, ...] = ()
     while len(got) < len(words):
         message = await heard.get()
--- a/tests/proxy/test_management.py
+++ b/tests/proxy/test_management.py
@@ -63,13 +63,13 @@
 async def test_head_and_body_are_bounded() -> None:
     async with operated(Backend()) as (gateway, _):
         assert (await call(gateway, "GET /stats", f"X: {'x' * 9000}"))[0] == 431
-        for size, status in ((3, 200), (management.MOST_BODY + 1, 413)):
+        for size, status in ((3, 200), (management.MAX_BODY_BYTES + 1, 413)):
             more = f"Host: x\r\nContent-Length: {size}\r\n\r\n{'x' * size}"
             assert (await call(gateway, "POST /backends/s0/maint", more))[0] == status
 
 
 async def test_slow_callers_do_not_block_others(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(management, "MOST_CONNECTIONS", 4)
+    monkeypatch.setattr(management, "MAX_CONNECTIONS", 4)
 
     async with operated(Backend()) as (gateway, _):
         slow = [await asyncio.open_connection(*at(gateway)) for _ in range(8)]
@@ -84,7 +84,7 @@
 
 
 async def test_incomplete_call_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(management, "PATIENCE_S", 0.05)
+    monkeypatch.setattr(management, "CALL_TIMEOUT_S", 0.05)
 
     async with operated(Backend()) as (gateway, _):
         reader, writer = await asyncio.open_connection(*at(gateway))
--- a/tests/proxy/test_policy_admission.py
+++ b/tests/proxy/test_policy_admission.py
@@ -54,7 +54,7 @@
         gateway.reload(new)
         assert (
             gateway.management_handlers.health() == (200, f"serves; policy 2 {DIGEST_A}")
-            and gateway.peers.mark == 3
+            and gateway.peers.policy_mark == 3
         )
         assert "BUSY" in await ask(client, "c")
         text = gateway.management_handlers.metrics()[1]
--- a/tests/proxy/test_wait_queues.py
+++ b/tests/proxy/test_wait_queues.py
@@ -322,9 +322,9 @@
         ):
             told = SendGossip(1, (GossipMessage(1, 0, 0, 2),), waited_us=7)
             gateway.peers.pause_writing()
-            gateway.peers.tell(told)
+            gateway.peers.send(told)
             gateway.peers.resume_writing()
-            gateway.peers.tell(told)
+            gateway.peers.send(told)
             assert line(gateway, "peers").turned == 1 and total(line(gateway, "peers").waits) == 2
             at = gateway.peers.transport.get_extra_info("sockname")
             for data in (b"", b"x", b"\xa1" + b"y" * 300):
