--- a/orchidhatch/proxy/resp.py
+++ b/orchidhatch/proxy/resp.py
@@ -11,7 +11,7 @@
 MAX_LENGTH_DIGITS = 12
 
 VALUE_HEAD = re.compile(rb"\*([1-9]|1[0-6])\r\n\$([1-9][0-9]{0,6})\r\n")
-"""The begin of a reply whose first element is a bulk string: its number of elements, and the string's size."""
+"""The begin of a reply whose first element is a bulk string: the number of elements, the string's size."""
 
 
 class ProtocolError(Exception):
