--- /dev/null
+++ b/orchidhatch/gateway/admission.py
@@ -0,0 +1,196 @@
+"""Admission: entry checks, quota decisions, and the requests that await a grant of their quota."""
+
+import zlib
+
+from orchidhatch.gateway.constants import TICK_US
+from orchidhatch.gateway.decision_context import DecisionContext
+from orchidhatch.gateway.events import Request, SuspendAdmission
+from orchidhatch.gateway.in_flight import InFlightRequest
+from orchidhatch.gateway.metric_names import GRANTS_ANSWERED, GRANTS_REQUESTED
+from orchidhatch.gateway.overload import OverloadController
+from orchidhatch.gateway.peer_outbox import PeerOutbox
+from orchidhatch.gateway.quota import ASK_US, ASKS, Customer
+from orchidhatch.gateway.quota_leaders import QuotaLeaders
+from orchidhatch.gateway.reasons import QuotaDecisionSource, RejectionReason
+from orchidhatch.gateway.request_completion import RequestCompletion
+from orchidhatch.gateway.request_counters import RequestCounters
+from orchidhatch.gateway.request_queue import MIN_LATENCIES_LEFT_ON_ARRIVAL, RequestQueue
+from orchidhatch.gateway.request_registry import RequestRegistry
+from orchidhatch.gateway.snapshots import CustomerKey
+
+MAX_GRANT_WAIT_SHARE = 8
+"""A grant is awaited for at most the latency objective divided by this."""
+
+MIN_TICKS_AFTER_GRANT_WAIT = 4
+"""Ticks between the end of the wait for a grant and the request's deadline."""
+
+
+class Admission:
+    """Decides which requests are admitted, by the quota rule (DESIGN, quota rule).
+
+    A request is admitted while its customer's local share lasts, else by chance; a customer's quota leader
+    is asked for the chance where the gateway cannot know it.
+    """
+
+    def __init__(
+        self,
+        context: DecisionContext,
+        requests: RequestRegistry,
+        overload: OverloadController,
+        outbox: PeerOutbox,
+        quotas: QuotaLeaders,
+        queue: RequestQueue,
+        completion: RequestCompletion,
+        counters: RequestCounters,
+    ) -> None:
+        self.context = context
+        self.requests = requests
+        self.overload = overload
+        self.outbox = outbox
+        self.quotas = quotas
+        self.queue = queue
+        self.completion = completion
+        self.counters = counters
+        self.awaiting_grant: list[InFlightRequest] = []
+        self.is_suspended = False
+
+    def on_suspend(self, event: SuspendAdmission) -> None:
+        """Suspend admission, or resume it."""
+        self.is_suspended = event.is_suspended
+
+    def on_request(self, event: Request) -> None:
+        """Take a request and decide on it, unless it is rejected at entry or has too little time left."""
+        customer = self.quotas.customer(customer_key(event))
+        rule = self.context.settings.classes[event.class_index]
+        request = InFlightRequest(event, rule, customer, self.context.now_us)
+        reason = self.entry_rejection(event)
+        self.requests.add(request)
+        if reason is not None:
+            self.completion.end_unserved(request, reason)
+        elif not self.queue.end_if_late(request, MIN_LATENCIES_LEFT_ON_ARRIVAL):
+            self.admit(request)
+
+    def entry_rejection(self, event: Request) -> RejectionReason | None:
+        """Why the request is not considered at all, if so."""
+        if self.is_suspended:
+            return RejectionReason.ADMISSION_SUSPENDED
+        if event.customer in self.context.settings.banned_customers:
+            return RejectionReason.CUSTOMER_BANNED
+        if not self.requests.has_capacity_for(event.size_bytes):
+            return RejectionReason.TOO_MANY_OPEN_REQUESTS
+        return None
+
+    def admit(self, request: InFlightRequest) -> None:
+        """Decide by what is known here of the customer's quota, or ask its quota leader."""
+        customer = request.customer
+        had_local_share = customer.has_local_share(request.units)
+        chance = self.quotas.chance(customer, request.units)
+        if chance is None:
+            self.request_grant(request)
+            return
+        source = QuotaDecisionSource.LOCAL_SHARE if had_local_share else self.known_source(customer)
+        self.decide(request, chance, source)
+        if had_local_share and not customer.shares_slots():  # A slot request would report the demand too.
+            self.quotas.report_demand(customer)
+
+    def known_source(self, customer: Customer) -> QuotaDecisionSource:
+        """What is known of the quota of the customer's whole set of gateways."""
+        if customer.is_leader:
+            return QuotaDecisionSource.LEADER
+        if customer.has_fresh_answer(self.context.now_us):
+            return QuotaDecisionSource.EARLIER_ANSWER
+        return QuotaDecisionSource.NO_ANSWER
+
+    def decide(self, request: InFlightRequest, chance: float, source: QuotaDecisionSource) -> None:
+        """Queue the request if it is within quota, by the chance given, or may exceed it; else reject it."""
+        customer = request.customer
+        self.counters.count_decision(source, self.context.now_us - customer.last_answer_us)
+        request.is_in_quota = self.context.random.random() < chance
+        if request.is_in_quota:
+            self.quotas.spend(customer, request.units)
+        elif not self.may_exceed_quota(customer):
+            self.completion.end_unserved(request, RejectionReason.OVER_QUOTA)
+            return
+        self.queue.enqueue(request)
+        self.queue.dequeue()
+
+    def may_exceed_quota(self, customer: Customer) -> bool:
+        """Whether the plan gains by requests beyond its quota, and no overload limits admission."""
+        plan = customer.plan
+        return plan.over_quota_weight > plan.over_quota_cost and self.overload.n_past is None
+
+    # --- requests that await a grant ---
+
+    def request_grant(self, request: InFlightRequest) -> None:
+        """Ask the customer's quota leader, and wait for its answer."""
+        wait_us = min(ASK_US, request.rule.latency_objective_us // MAX_GRANT_WAIT_SHARE)
+        latest_us = request.deadline_us - MIN_TICKS_AFTER_GRANT_WAIT * TICK_US
+        request.grant_requests += 1
+        request.decide_at_us = min(self.context.now_us + wait_us, latest_us)
+        self.outbox.tally[GRANTS_REQUESTED] += 1
+        self.awaiting_grant.append(request)
+        self.quotas.request_grant(request.customer, request.units)
+
+    def on_grant_answer(self, customer: Customer | None) -> None:
+        """A quota leader has answered: a request of the customer, or none where no request was answered."""
+        if customer is None:
+            self.decide_unanswered()
+        else:
+            self.decide_answered(customer)
+        self.queue.dequeue()
+
+    def decide_answered(self, customer: Customer) -> None:
+        """Decide on the customer's request that has waited longest, and on those whose wait is over."""
+        answered = self.take_first_awaiting(customer)
+        self.outbox.tally[GRANTS_ANSWERED] += len(answered)
+        for request in answered + self.take_overdue():
+            chance = request.customer.chance(request.units, known=True)
+            self.decide_after_wait(request, chance, QuotaDecisionSource.GRANT_ANSWER)
+
+    def decide_unanswered(self) -> None:
+        """Ask again for the requests whose wait is over, or decide on them without an answer."""
+        now_us = self.context.now_us
+        for request in self.take_overdue():
+            if request.is_answered:
+                continue
+            if self.may_request_again(request):
+                self.request_grant(request)
+                continue
+            chance = request.customer.chance(request.units, known=False)
+            request.customer.back_off(now_us, self.context.random.random())
+            self.decide_after_wait(request, chance, QuotaDecisionSource.ANSWER_TIMEOUT)
+
+    def may_request_again(self, request: InFlightRequest) -> bool:
+        """Whether the quota leader may be asked once more, as messages may be lost."""
+        wait_end_us = self.context.now_us + ASK_US + MIN_TICKS_AFTER_GRANT_WAIT * TICK_US
+        return request.grant_requests < ASKS and wait_end_us < request.deadline_us
+
+    def decide_after_wait(self, request: InFlightRequest, chance: float, source: QuotaDecisionSource) -> None:
+        """Decide on a request that the quota leader was asked for, unless its client has gone meanwhile.
+
+        The leader counts the units as spent with its answer; where the client has gone, the next report to
+        it gives them back.
+        """
+        request.customer.deduct_unreported_spend(request.units * chance)
+        if not request.is_answered:
+            self.decide(request, chance, source)
+
+    def take_first_awaiting(self, customer: Customer) -> list[InFlightRequest]:
+        """Remove the customer's request that has waited longest, if any waits."""
+        for index, request in enumerate(self.awaiting_grant):
+            if request.customer is customer:
+                return [self.awaiting_grant.pop(index)]
+        return []
+
+    def take_overdue(self) -> list[InFlightRequest]:
+        """Remove the requests whose wait is over."""
+        now_us = self.context.now_us
+        overdue = [request for request in self.awaiting_grant if request.decide_at_us <= now_us]
+        self.awaiting_grant = [request for request in self.awaiting_grant if request.decide_at_us > now_us]
+        return overdue
+
+
+def customer_key(event: Request) -> CustomerKey:
+    """The key of the request's customer under its plan and set of gateways."""
+    checksum = zlib.crc32(event.customer.encode())
+    return CustomerKey(checksum, event.plan_index, event.set_first, event.set_size)
--- /dev/null
+++ b/orchidhatch/gateway/attempt_control.py
@@ -0,0 +1,126 @@
+"""The way of a request's attempts: their ends, retries, and streamed answers."""
+
+from orchidhatch.gateway.attempt_learning import AttemptLearning
+from orchidhatch.gateway.attempt_sender import AttemptSender
+from orchidhatch.gateway.attempts import NOT_RUN_RESULTS, AttemptResult
+from orchidhatch.gateway.decision_context import DecisionContext
+from orchidhatch.gateway.events import AttemptEnded, StreamStarted
+from orchidhatch.gateway.in_flight import InFlightRequest
+from orchidhatch.gateway.load_balancing import LoadBalancer, Server
+from orchidhatch.gateway.overload import OverloadController
+from orchidhatch.gateway.quota_leaders import QuotaLeaders
+from orchidhatch.gateway.request_completion import RequestCompletion
+from orchidhatch.gateway.request_queue import RequestQueue
+from orchidhatch.gateway.request_registry import RequestRegistry
+from orchidhatch.gateway.retries import RetryPolicy
+from orchidhatch.gateway.snapshots import HandoverAttemptEnd
+
+
+class AttemptControl:
+    """Takes the ends of attempts: frees what they used, learns from them, retries or ends their requests."""
+
+    def __init__(
+        self,
+        context: DecisionContext,
+        requests: RequestRegistry,
+        overload: OverloadController,
+        balancer: LoadBalancer,
+        quotas: QuotaLeaders,
+        retries: RetryPolicy,
+        sender: AttemptSender,
+        queue: RequestQueue,
+        completion: RequestCompletion,
+        learning: AttemptLearning,
+    ) -> None:
+        self.context = context
+        self.requests = requests
+        self.overload = overload
+        self.balancer = balancer
+        self.quotas = quotas
+        self.retries = retries
+        self.sender = sender
+        self.queue = queue
+        self.completion = completion
+        self.learning = learning
+
+    def on_attempt_ended(self, event: AttemptEnded) -> None:
+        """An attempt has ended; nothing where it is not known to be in flight."""
+        request = self.requests.get(event.id)
+        if request is None or event.attempt not in request.attempts:
+            return
+        self.free_attempt(request, event)
+        if event.result is AttemptResult.NOT_SENT and event.attempt == 0:
+            self.completion.refund_quota(request)
+            request.customer.refund_ceiling(request.units)
+        self.note_whether_run(request, event.result)
+        if event.is_final or request.is_answered:
+            self.completion.release(request)
+        elif not request.attempts and not self.retry(request, event.result):
+            self.completion.end_unserved(request, event.result)
+        if not request.attempts:  # A retry uses the same concurrency slot.
+            self.quotas.report_in_flight(request.customer)
+
+    def on_stream_started(self, event: StreamStarted) -> None:
+        """A streamed answer has begun: the server has done its work, and the rest depends on the client."""
+        request = self.requests.get(event.id)
+        if request is None or event.attempt not in request.attempts or request.is_answered:
+            return
+        request.is_streaming = True
+        server = request.servers[event.attempt]
+        self.requests.close(request)
+        self.free_server(server, request, event.attempt)
+        served = AttemptEnded(event.id, True, event.attempt, event.server, AttemptResult.OK, event.latency_us)
+        self.learning.learn(request, server, served)
+
+    def free_attempt(self, request: InFlightRequest, event: AttemptEnded) -> None:
+        """Take an ended attempt off its customer and server, and learn from its end.
+
+        An attempt whose answer was streamed was taken off its server when the stream began, and only its
+        failure is news.
+        """
+        server = request.servers[event.attempt]
+        request.customer.attempt_ended()
+        del request.attempts[event.attempt]
+        self.context.send_to_handover_peer(HandoverAttemptEnd(event.id, event.attempt))
+        if not request.is_streaming:
+            self.free_server(server, request, event.attempt)
+        if not request.is_streaming or event.result is not AttemptResult.OK:
+            self.learning.learn(request, server, event)
+
+    def free_server(self, server: Server, request: InFlightRequest, number: int) -> None:
+        """The server has no more work with the attempt."""
+        self.overload.in_flight -= 1
+        self.balancer.attempt_ended(server, (request.id, number))
+
+    def note_whether_run(self, request: InFlightRequest, result: AttemptResult) -> None:
+        """Where no attempt of the request can have run, it is bound to no server, and may be rejected."""
+        if result in NOT_RUN_RESULTS:
+            request.unrun_attempts += 1
+        if request.unrun_attempts == len(request.servers):
+            request.first_server = None
+
+    def retry(self, request: InFlightRequest, result: AttemptResult) -> bool:
+        """Retry after an attempt that ended so, at once or from the queue; False if it may not be retried."""
+        if not self.retries.may_retry(request, result):
+            return False
+        server = self.balancer.choose(request)
+        if server is not None:
+            self.retries.spend(result)
+            self.sender.send(request, server)
+            return True
+        if request.first_server is None:
+            self.queue.enqueue(request)
+            return True
+        return False
+
+    def overdue_ages(self) -> list[float]:
+        """The ages of attempts that take longer than the mean latency, in latency objectives, at most 1."""
+        now_us = self.context.now_us
+        mean_us = self.balancer.mean_us
+        return [
+            min(1.0, (now_us - sent_us) / request.rule.latency_objective_us)
+            for request in self.requests
+            if not request.is_streaming
+            for sent_us in request.attempts.values()
+            if now_us - sent_us > mean_us[request.class_index]
+        ]
--- /dev/null
+++ b/orchidhatch/gateway/attempt_learning.py
@@ -0,0 +1,79 @@
+"""What the ends of attempts show of the servers' load and health, here and at other gateways."""
+
+from collections.abc import Iterable
+
+from orchidhatch.gateway.attempts import OBSERVED_RESULTS, AttemptResult, LoadReport
+from orchidhatch.gateway.decision_context import DecisionContext
+from orchidhatch.gateway.events import AttemptEnded
+from orchidhatch.gateway.gossip import AttemptObservation
+from orchidhatch.gateway.in_flight import InFlightRequest
+from orchidhatch.gateway.load_balancing import LoadBalancer, Server
+from orchidhatch.gateway.overload import OverloadController
+from orchidhatch.gateway.peer_outbox import PeerOutbox
+
+RESULTS_WITH_LATENCY = (AttemptResult.OK, AttemptResult.TIMEOUT)
+"""Results whose latency shows how busy the servers are."""
+
+
+class AttemptLearning:
+    """Passes what attempts show on to overload control, load balancing and the other gateways."""
+
+    def __init__(
+        self,
+        context: DecisionContext,
+        overload: OverloadController,
+        balancer: LoadBalancer,
+        outbox: PeerOutbox,
+    ) -> None:
+        self.context = context
+        self.overload = overload
+        self.balancer = balancer
+        self.outbox = outbox
+
+    def learn(self, request: InFlightRequest, server: Server, event: AttemptEnded) -> None:
+        """Learn from an attempt of this gateway that has ended, or whose streamed answer has begun."""
+        result = event.result
+        has_latency = result in RESULTS_WITH_LATENCY
+        relative_latency = event.latency_us / request.rule.latency_objective_us if has_latency else 0.0
+        report = event.report or LoadReport()
+        if report.util is not None:
+            self.overload.signals["util"].append(report.util)
+        if result in OBSERVED_RESULTS:
+            succeeded = result is AttemptResult.OK
+            self.outbox.add_observation(
+                AttemptObservation(server.checksum, request.class_index, succeeded, relative_latency)
+            )
+        self.balancer.learn(server, request.class_index, event, reported_load(report))
+        settings = self.context.settings
+        if (
+            result is AttemptResult.OK
+            and settings.settles_units
+            and event.actual_units
+            and request.is_in_quota
+        ):
+            request.customer.spend(event.actual_units - request.units)
+        if has_latency:
+            self.overload.signals["latency"].append(min(1.0, relative_latency))
+
+    def learn_from_peer(self, observations: Iterable[AttemptObservation]) -> None:
+        """Learn from attempts of another gateway."""
+        classes = self.context.settings.classes
+        for observation in observations:
+            server = self.balancer.index.with_checksum(observation.server_checksum)
+            if server is None or observation.class_index >= len(classes):
+                continue
+            relative_latency = observation.relative_latency
+            if observation.succeeded or relative_latency:
+                self.overload.signals["latency"].append(relative_latency)
+            objective_us = classes[observation.class_index].latency_objective_us
+            latency_us = relative_latency * objective_us
+            self.balancer.observe(server, observation.class_index, observation.succeeded, latency_us)
+
+
+def reported_load(report: LoadReport) -> float | None:
+    """The figure by which servers are compared; only `util` says by itself how busy a server is."""
+    if report.util is not None:
+        return report.util
+    if report.inflight is not None:
+        return report.inflight
+    return report.queue
--- a/orchidhatch/gateway/handover_state.py
+++ b/orchidhatch/gateway/handover_state.py
@@ -36,9 +36,7 @@
         tuple(server.snapshot() for server in routing.servers.values()),
         tuple(HandoverEjection(name, left_out) for name, left_out in names.items()),
         tuple(
-            HandoverAttempt(
-                job.customer.key, job.request.id, number, job.servers[number].endpoint.name, sent, 0.0
-            )
+            HandoverAttempt(job.customer.key, job.id, number, job.servers[number].endpoint.name, sent, 0.0)
             for job in jobs
             for number, sent in job.attempts.items()
         ),
--- a/orchidhatch/gateway/in_flight.py
+++ b/orchidhatch/gateway/in_flight.py
@@ -8,30 +8,35 @@
 
 
 class InFlightRequest:
-    """A request that was taken, its attempts, and its times in microseconds."""
+    """A request that has arrived, its attempts, and its times in microseconds; `rule` is its class."""
 
     def __init__(self, request: Request, rule: RequestClass, customer: Customer, now_us: int) -> None:
-        self.request = request
+        self.id = request.id
+        self.class_index = request.class_index
+        self.units = request.units
+        self.size_bytes = request.size_bytes
         self.rule = rule
         self.customer = customer
         self.priority = rule.priority_weight * customer.plan.priority_factor * request.units
         self.arrived_us = now_us
         self.deadline_us = now_us + request.time_left_us
         self.objective_us = min(now_us + rule.latency_objective_us, self.deadline_us)
-        # The servers of its attempts, in order.
+        # The servers of all attempts so far, in order.
         self.servers: list[ServerRecord] = []
-        # Attempts in flight by number, and when each was sent.
+        # When each attempt in flight was sent, by its number.
         self.attempts: dict[int, int] = {}
-        # Where it may first have run, and since when; attempts that are known not to have run.
+        # The first server that may have run it, and when it was sent there.
         self.first_server: ServerRecord | None = None
         self.first_sent_us = 0
+        # Attempts that are known not to have run.
         self.unrun_attempts = 0
+        # No answer is owed any more: given, or the client has gone.
         self.is_answered = False
         self.is_in_quota = False
         self.is_streaming = False
         # Since when it waits, for a grant of its quota or to be sent.
         self.queued_us = now_us
-        # Until when it waits for a grant, and how often that was requested.
+        # When its quota is decided on without a grant; NEVER while it awaits none.
         self.decide_at_us = NEVER
         self.grant_requests = 0
 
--- a/orchidhatch/gateway/metrics.py
+++ b/orchidhatch/gateway/metrics.py
@@ -1,167 +1,143 @@
-"""The metrics of the decision core: counters, the periodic log line and the snapshot. It decides nothing."""
+"""The metrics of the decision core: the periodic log line, wait times and the snapshot; decides nothing."""
 
 from collections import Counter
-from typing import Protocol
 
 from orchidhatch.gateway.actions import LogLine, MetricsSnapshot, WaitTimes
+from orchidhatch.gateway.admission import Admission
 from orchidhatch.gateway.decision_context import DecisionContext
 from orchidhatch.gateway.endpoints import EndpointState
 from orchidhatch.gateway.in_flight import InFlightRequest
 from orchidhatch.gateway.load_balancing import LoadBalancer
+from orchidhatch.gateway.metric_names import AWAITING_GRANT_NAME, GOSSIP_COUNTS, end_reason_name
 from orchidhatch.gateway.overload import OverloadController
 from orchidhatch.gateway.peer_outbox import PeerOutbox
-from orchidhatch.gateway.quota_leaders import QuotaLeaders
+from orchidhatch.gateway.reasons import RejectionReason
+from orchidhatch.gateway.request_counters import RequestCounters
+from orchidhatch.gateway.request_queue import RequestQueue
 from orchidhatch.gateway.times import NEVER, S
 
-LOG_US = 5 * S
-"""How often a line is logged."""
-
-GOSSIP_COUNTS = ("told", "heard", "asked", "answered")
-"""Messages to and from peers, grants requested, and those answered; the names are those of the log line."""
-
-STALE_ANSWER = "old"
-"""The kind of admission decision that goes by an earlier answer of the quota leader."""
-
-
-class RequestCounters:
-    """Counts of how requests ended unserved and of admission decisions by what was known of the quota."""
-
-    def __init__(self) -> None:
-        self.ended: Counter[str] = Counter()  # by reason, since the start
-        self.ended_since_log: Counter[str] = Counter()
-        self.decided_since_log: Counter[str] = Counter()
-        self.stale_us_since_log = 0  # the ages of the answers that STALE_ANSWER decisions went by, summed
-        self.logged_us = -1
-        self.waits_counted_us = 0
-
-    def count_end(self, reason: str) -> None:
-        """Count a request that ended unserved."""
-        self.ended_since_log[reason] += 1
-        self.ended[reason] += 1
-
-    def count_decision(self, kind: str, answer_age_us: int) -> None:
-        """Count an admission decision; `answer_age_us` is since when the quota leader has not answered."""
-        self.decided_since_log[kind] += 1
-        if kind == STALE_ANSWER:
-            self.stale_us_since_log += answer_age_us
-
-    def start_log_period(self, now_us: int) -> None:
-        """Clear what counts since the last log line."""
-        self.ended_since_log.clear()
-        self.decided_since_log.clear()
-        self.stale_us_since_log = 0
-        self.logged_us = now_us
-
-
-class Measured(Protocol):
-    """What of the decision core is measured."""
-
-    context: DecisionContext
-    overload: OverloadController
-    balancer: LoadBalancer
-    outbox: PeerOutbox
-    quotas: QuotaLeaders
-    counters: RequestCounters
-    queue: list[tuple[float, int, InFlightRequest]]
-    awaiting_grant: list[InFlightRequest]
-
-    def allowance(self) -> bool:
-        """Whether the overload controller admits one more first attempt."""
-
-
-def log_lines(core: Measured) -> list[LogLine]:
-    """The periodic log line where it is due, which begins the next period; else nothing."""
-    now_us = core.context.now_us
-    if now_us - core.counters.logged_us < LOG_US:
-        return []
-    line = LogLine(summary_text(core))
-    core.counters.start_log_period(now_us)
-    core.outbox.tally.clear()
-    return [line]
-
-
-def summary_text(core: Measured) -> str:
-    """The admission limit, what is in flight and queued, and why requests were ended."""
-    cap, routing, peers, counters = core.overload, core.balancer, core.outbox.tally, core.counters
-    now_us = core.context.now_us
-    ended = counts_text(counters.ended_since_log)
-    decided = counts_text(counters.decided_since_log)
-    limit = "lifted" if cap.n_past is None else f"{cap.n_past:.1f}/{cap.period_length_us // S}s"
-    means = ",".join(f"{mean / 1000:.0f}" for mean in routing.mean_us)
-    ejected = len(routing.index.in_order(routing.index.suspects_at(now_us)))
-    return (
-        f"cap {limit} occupancy {cap.occupancy:.2f} rate {cap.rate:.0f}/s mean {means} ms"
-        f" out {cap.in_flight} held {len(core.queue)} ({queued_text(core)})"
-        f" waiting {len(core.awaiting_grant)}"
-        f" up {len(routing.up)} suspect {ejected} ended: {ended}"
-        f" decided: {decided} old words {counters.stale_us_since_log // 1000} ms"
-        f" peers: {' '.join(f'{what} {peers[what]}' for what in GOSSIP_COUNTS)}"
-    )
+LOG_INTERVAL_US = 5 * S
+
+
+class MetricsReporter:
+    """Reads the components' state and counters; starts the counters' next period with each log line."""
+
+    def __init__(
+        self,
+        context: DecisionContext,
+        overload: OverloadController,
+        balancer: LoadBalancer,
+        outbox: PeerOutbox,
+        queue: RequestQueue,
+        admission: Admission,
+        counters: RequestCounters,
+    ) -> None:
+        self.context = context
+        self.overload = overload
+        self.balancer = balancer
+        self.outbox = outbox
+        self.queue = queue
+        self.admission = admission
+        self.counters = counters
+
+    # --- the log line ---
+
+    def log_lines(self) -> list[LogLine]:
+        """The periodic log line where it is due, which begins the next period; else nothing."""
+        now_us = self.context.now_us
+        if now_us - self.counters.logged_us < LOG_INTERVAL_US:
+            return []
+        line = LogLine(self.summary_text())
+        self.counters.start_log_period(now_us)
+        self.outbox.tally.clear()
+        return [line]
+
+    def summary_text(self) -> str:
+        """The admission limit, what is in flight and queued, and why requests were ended."""
+        overload = self.overload
+        counters = self.counters
+        messages = self.outbox.tally
+        latencies_ms = ",".join(f"{mean_us / 1000:.0f}" for mean_us in self.balancer.mean_us)
+        return (
+            f"cap {self.limit_text()} occupancy {overload.occupancy:.2f} rate {overload.rate:.0f}/s"
+            f" mean {latencies_ms} ms out {overload.in_flight}"
+            f" held {len(self.queue)} ({self.queued_text()}) waiting {len(self.admission.awaiting_grant)}"
+            f" up {len(self.balancer.up)} suspect {self.count_outliers()}"
+            f" ended: {counts_text(counters.ended_since_log)}"
+            f" decided: {counts_text(counters.decided_since_log)}"
+            f" old words {counters.answer_age_us_since_log // 1000} ms"
+            f" peers: {' '.join(f'{name} {messages[name]}' for name in GOSSIP_COUNTS)}"
+        )
+
+    def limit_text(self) -> str:
+        """The admission limit and the length of its period."""
+        limit = self.overload.n_past
+        return "lifted" if limit is None else f"{limit:.1f}/{self.overload.period_length_us // S}s"
+
+    def queued_text(self) -> str:
+        """What the queued requests that were never sent wait for, beside a server and the admission limit."""
+        never_sent = [request for request in self.queue if not request.servers]
+        at_slots = sum(request.customer.lacks_slot(self.context.now_us) for request in never_sent)
+        at_ceiling = sum(request.customer.lacks_ceiling_units(request.units) for request in never_sent)
+        return f"open cap {at_slots} ceiling {at_ceiling}"
+
+    # --- the snapshot ---
+
+    def snapshot(self) -> MetricsSnapshot:
+        """The metrics now; servers count as ejected by an operator or by outlier detection."""
+        now_us = self.context.now_us
+        outbox = self.outbox
+        states = [server.endpoint.state for server in self.balancer.servers.values()]
+        listed = sum(state is not EndpointState.GONE for state in states)
+        usable = len(self.balancer.up) - self.count_outliers()
+        arrivals_us = [request.arrived_us for request in self.queue]
+        arrivals_us += [request.arrived_us for request in self.admission.awaiting_grant]
+        return MetricsSnapshot(
+            listed=listed,
+            ejected=listed - usable,
+            queued=len(arrivals_us),
+            queued_us=now_us - min(arrivals_us, default=now_us),
+            messages=sum(map(len, outbox.waiting.values())),
+            messages_us=now_us - min(outbox.since.values(), default=now_us),
+            messages_dropped=outbox.dropped,
+            ended=tuple(sorted(self.counters.ended.items())),
+        )
+
+    def count_outliers(self) -> int:
+        """How many servers outlier detection has ejected."""
+        index = self.balancer.index
+        return len(index.in_order(index.suspects_at(self.context.now_us)))
+
+    # --- wait times ---
+
+    def wait_times(self) -> list[WaitTimes]:
+        """How long requests have waited here since the last call, summed, by what they waited for."""
+        now_us = self.context.now_us
+        since_us = self.counters.waits_counted_us
+        self.counters.waits_counted_us = now_us
+        queued = [request for request in self.queue if not request.is_answered]
+        waited_us: Counter[str] = Counter()
+        for request in [*self.admission.awaiting_grant, *queued]:
+            waited_us[self.wait_name(request)] += now_us - max(since_us, request.queued_us)
+        return [WaitTimes(tuple(sorted(waited_us.items())))] if waited_us else []
+
+    def wait_name(self, request: InFlightRequest) -> str:
+        """What a waiting request waits for, by the names of the reasons for which requests end."""
+        if request.decide_at_us < NEVER:
+            return AWAITING_GRANT_NAME
+        return end_reason_name(self.wait_reason(request))
+
+    def wait_reason(self, request: InFlightRequest) -> RejectionReason:
+        """What a queued request waits for, as its customer's state was last refilled."""
+        if request.servers:
+            return RejectionReason.SERVER_FOR_RETRY
+        if request.customer.lacks_slot(self.context.now_us):
+            return RejectionReason.CONCURRENCY_SLOT
+        if request.customer.lacks_ceiling_units(request.units):
+            return RejectionReason.RATE_CEILING
+        return self.queue.limit_reason()
 
 
 def counts_text(counts: Counter[str]) -> str:
     """Counts by name as `name=count`, sorted; "-" for none."""
     return " ".join(f"{name}={count}" for name, count in sorted(counts.items())) or "-"
-
-
-def queued_text(core: Measured) -> str:
-    """What the queued requests that were never sent wait for, beside a server and the admission limit."""
-    never_sent = [job for _, _, job in core.queue if not job.servers]
-    at_slots = sum(job.customer.lacks_slot(core.context.now_us) for job in never_sent)
-    at_ceiling = sum(job.customer.lacks_ceiling_units(job.request.units) for job in never_sent)
-    return f"open cap {at_slots} ceiling {at_ceiling}"
-
-
-def metrics_snapshot(core: Measured) -> MetricsSnapshot:
-    """The metrics now; servers count as ejected by an operator or by outlier detection."""
-    now, words, routing = core.context.now_us, core.outbox, core.balancer
-    good = len(routing.up) - len(routing.index.in_order(routing.index.suspects_at(now)))
-    listed = sum(server.endpoint.state is not EndpointState.GONE for server in routing.servers.values())
-    waits = [job.arrived_us for _, _, job in core.queue] + [job.arrived_us for job in core.awaiting_grant]
-    return MetricsSnapshot(
-        listed=listed,
-        ejected=listed - good,
-        queued=len(waits),
-        queued_us=now - min(waits, default=now),
-        messages=sum(map(len, words.waiting.values())),
-        messages_us=now - min(words.since.values(), default=now),
-        messages_dropped=words.dropped,
-        ended=tuple(sorted(core.counters.ended.items())),
-    )
-
-
-def wait_times(core: Measured) -> list[WaitTimes]:
-    """What the requests that wait here have waited for since the last call, all of them together."""
-    since_us = core.counters.waits_counted_us
-    core.counters.waits_counted_us = core.context.now_us
-    waited: Counter[str] = Counter()
-    for job in [*core.awaiting_grant, *[job for _, _, job in core.queue if not job.is_answered]]:
-        waited[wait_reason(core, job)] += core.context.now_us - max(since_us, job.queued_us)
-    return [WaitTimes(tuple(sorted(waited.items())))] if waited else []
-
-
-def wait_reason(core: Measured, job: InFlightRequest) -> str:
-    """What a request that waits here waits for, by the names of the reasons for which requests are ended."""
-    customer = job.customer
-    if job.decide_at_us < NEVER:
-        return "word"
-    if job.servers:
-        return "again"
-    if customer.plan.max_in_flight and customer.lacks_slot(core.context.now_us):
-        return "open_cap"
-    if customer.lacks_ceiling_units(job.request.units):
-        return "ceiling"
-    return "server" if core.allowance() else "cap"
-
-
-def rejection_reason(core: Measured, job: InFlightRequest) -> str:
-    """What a request waited for until its latency objective was out of reach; of a new one "late"."""
-    if job.servers:
-        return "again"
-    if core.context.now_us == job.arrived_us:
-        return "late"
-    if job.customer.lacks_slot(core.context.now_us):
-        return "open_cap"
-    if core.quotas.at_ceiling(job.customer, job.request.units):
-        return "ceiling"
-    return "server" if core.allowance() else "cap"
--- /dev/null
+++ b/orchidhatch/gateway/request_completion.py
@@ -0,0 +1,62 @@
+"""How requests end: rejected, failed, answered, or given up by their clients."""
+
+from orchidhatch.gateway.actions import CancelAttempt, Fail, Reject
+from orchidhatch.gateway.decision_context import DecisionContext
+from orchidhatch.gateway.events import ClientGone
+from orchidhatch.gateway.in_flight import InFlightRequest
+from orchidhatch.gateway.quota_leaders import QuotaLeaders
+from orchidhatch.gateway.reasons import EndReason
+from orchidhatch.gateway.request_counters import RequestCounters
+from orchidhatch.gateway.request_registry import RequestRegistry
+from orchidhatch.gateway.retry_after import RetryAfter
+
+
+class RequestCompletion:
+    """Ends requests: answers the client, gives back unused quota and cancels what is in flight."""
+
+    def __init__(
+        self,
+        context: DecisionContext,
+        requests: RequestRegistry,
+        quotas: QuotaLeaders,
+        retry_after: RetryAfter,
+        counters: RequestCounters,
+    ) -> None:
+        self.context = context
+        self.requests = requests
+        self.quotas = quotas
+        self.retry_after = retry_after
+        self.counters = counters
+
+    def end_unserved(self, request: InFlightRequest, reason: EndReason) -> None:
+        """Reject the request if a retry is harmless, else fail it."""
+        self.counters.count_end(reason)
+        answer: Reject | Fail
+        if request.may_reject():
+            answer = Reject(request.id, self.retry_after.delay_us(request, reason))
+        else:
+            answer = Fail(request.id)
+        self.context.actions.append(answer)
+        self.release(request)
+
+    def on_client_gone(self, event: ClientGone) -> None:
+        """The client has left: nothing is owed to it."""
+        request = self.requests.get(event.id)
+        if request is not None:
+            self.release(request)
+
+    def release(self, request: InFlightRequest) -> None:
+        """Close the request, and forget it unless attempts are still in flight."""
+        if not request.servers and not request.is_answered:
+            self.refund_quota(request)
+        may_cancel = self.context.settings.may_cancel and not request.is_answered
+        self.requests.close(request)
+        if may_cancel:
+            self.context.actions += [CancelAttempt(request.id, number) for number in request.attempts]
+        if not request.attempts:
+            self.requests.remove(request)
+
+    def refund_quota(self, request: InFlightRequest) -> None:
+        """Give back the quota that was spent on a request that no server was sent."""
+        if request.is_in_quota:
+            self.quotas.spend(request.customer, -request.units)
--- a/orchidhatch/gateway/retries.py
+++ b/orchidhatch/gateway/retries.py
@@ -1,70 +1,82 @@
-"""When an attempt is given up, whether a further one is worth it, and when a client may come again."""
+"""Attempt timeouts, and whether a further attempt may follow a failed one."""
 
 from orchidhatch.gateway.attempts import AttemptResult
 from orchidhatch.gateway.decision_context import DecisionContext
 from orchidhatch.gateway.in_flight import InFlightRequest
 from orchidhatch.gateway.load_balancing import LoadBalancer
-from orchidhatch.gateway.overload import OverloadController
 from orchidhatch.gateway.settings import Idempotency
-from orchidhatch.gateway.times import NEVER
 
-# Attempts that no server has seen: their retries feed no overload.
 FREE_RETRIES = (AttemptResult.CONNECT_FAILED, AttemptResult.LOCAL_FAILURE)
-RETRY_SHARE, RETRY_STORE, LONG_MEANS = 0.1, 8.0, 8  # attempts earned by a first one, kept; see timeout_us
+"""Results of attempts that no server has seen: their retries add no load and cost no budget."""
+
+RETRIES_PER_REQUEST = 0.1
+"""Retries that the budget gains with each request's first attempt."""
+
+MAX_RETRY_BUDGET = 8.0
+"""Retries that may be saved up."""
+
+MIN_TIMEOUT_LATENCIES = 8
+"""An attempt is given up early only after so many mean latencies: before, it may just be a large one."""
+
+LATENCIES_FOR_ANOTHER_ATTEMPT = 2
+"""Mean latencies that an attempt given up early leaves to the next one before the latency objective."""
 
 
 class RetryPolicy:
-    """Further attempts live on a small share of first ones, so that they feed no overload."""
+    """Limits retries to a budget in proportion to first attempts, so that they cannot add to an overload."""
 
-    def __init__(self, context: DecisionContext, routing: LoadBalancer, cap: OverloadController) -> None:
-        self.context, self.balancer, self.overload = context, routing, cap
-        self.budget = RETRY_STORE / 2
+    def __init__(self, context: DecisionContext, balancer: LoadBalancer) -> None:
+        self.context = context
+        self.balancer = balancer
+        self.budget = MAX_RETRY_BUDGET / 2
 
     def earn(self) -> None:
-        self.budget = min(RETRY_STORE, self.budget + RETRY_SHARE)
+        """A request's first attempt is sent: the budget grows."""
+        self.budget = min(MAX_RETRY_BUDGET, self.budget + RETRIES_PER_REQUEST)
 
-    def mean_us(self, job: InFlightRequest) -> float:
-        return self.balancer.mean_us[job.request.class_index]
+    def spend(self, result: AttemptResult) -> None:
+        """An attempt that ended so is retried: the budget shrinks."""
+        if result not in FREE_RETRIES:
+            self.budget -= 1
 
-    def timeout_us(self, job: InFlightRequest) -> int:
-        """Microseconds until it is given up: while another can meet the aim, once rather lost than large."""
-        left, mean = job.deadline_us - self.context.now_us, self.mean_us(job)
-        early = round(job.objective_us - self.context.now_us - 2 * mean)
-        most = self.context.settings.max_attempts
-        last = job.rule.idempotency is Idempotency.UNSAFE or len(job.servers) >= most
-        return max(1, left if last or early < LONG_MEANS * mean else min(left, early))
+    def may_retry(self, request: InFlightRequest, result: AttemptResult) -> bool:
+        """Whether a further attempt may follow one that ended so."""
+        if result is AttemptResult.NOT_SENT:
+            return False
+        half_latency_us = self.mean_latency_us(request) / 2
+        if self.context.now_us + half_latency_us >= request.deadline_us:
+            return False
+        if result not in FREE_RETRIES and self.budget < 1:
+            return False
+        return len(request.servers) < self.context.settings.max_attempts
 
-    def start_within_us(self, job: InFlightRequest) -> int:
-        """Microseconds in which a repeat of what may have run must be begun; it may wait for a connection."""
-        bound = job.rule.idempotency is Idempotency.KEYED and job.first_server is not None
-        return max(1, job.first_sent_us + job.rule.dedup_window_us - self.context.now_us) if bound else 0
+    def timeout_us(self, request: InFlightRequest) -> int:
+        """The timeout of the attempt that is being sent, in microseconds.
 
-    def may_retry(self, job: InFlightRequest, why: AttemptResult) -> bool:
-        """Whether a further attempt may follow one that ended so."""
-        late = why is AttemptResult.NOT_SENT or self.context.now_us + self.mean_us(job) / 2 >= job.deadline_us
-        paid = why in FREE_RETRIES or self.budget >= 1
-        return not late and paid and len(job.servers) < self.context.settings.max_attempts
-
-    def spend(self, why: AttemptResult) -> None:
-        self.budget -= why not in FREE_RETRIES
-
-    # --- advice ---
-
-    def retry_after_us(self, job: InFlightRequest, why: str) -> int:
-        """When there will be room for what the request lacked, as far as is known here; by chance up to twice
-        that, as clients that were refused together would else come back together. Never less: who comes
-        before there is room costs a place and time, and gains nothing."""
-        most = self.context.settings.max_retry_after_us
-        return round(min(most, self.capacity_in_us(job, why) * (1 + self.context.random.random())))
-
-    def capacity_in_us(self, job: InFlightRequest, why: str) -> float:
-        customer, units = job.customer, job.request.units
-        if self.overload.n_past is not None:  # more comes than N: who comes again finds no room
-            return NEVER
-        if why == "crowded":
-            return self.mean_us(job)
-        if why == "quota":
-            return customer.quota_wait_us(units)
-        if not job.servers and customer.lacks_ceiling_units(units):
-            return customer.ceiling_wait_us(units)
-        return self.overload.period_length_us  # no slot, or no server takes more: a period changes that
+        It ends with the request's deadline, or earlier where another attempt may follow and can still meet
+        the latency objective.
+        """
+        now_us = self.context.now_us
+        mean_us = self.mean_latency_us(request)
+        until_deadline_us = request.deadline_us - now_us
+        early_us = round(request.objective_us - now_us - LATENCIES_FOR_ANOTHER_ATTEMPT * mean_us)
+        is_unsafe = request.rule.idempotency is Idempotency.UNSAFE
+        is_last = is_unsafe or len(request.servers) >= self.context.settings.max_attempts
+        if is_last or early_us < MIN_TIMEOUT_LATENCIES * mean_us:
+            return max(1, until_deadline_us)
+        return max(1, min(until_deadline_us, early_us))
+
+    def start_within_us(self, request: InFlightRequest) -> int:
+        """The time in which the attempt has to be written, in microseconds; 0 for no limit.
+
+        An attempt that may repeat another by its idempotency key must reach the server within the
+        deduplication window, though it may have to wait for a connection.
+        """
+        is_keyed = request.rule.idempotency is Idempotency.KEYED
+        if not is_keyed or request.first_server is None:
+            return 0
+        return max(1, request.first_sent_us + request.rule.dedup_window_us - self.context.now_us)
+
+    def mean_latency_us(self, request: InFlightRequest) -> float:
+        """The mean latency of attempts of the request's class."""
+        return self.balancer.mean_us[request.class_index]
--- /dev/null
+++ b/orchidhatch/gateway/retry_after.py
@@ -0,0 +1,41 @@
+"""When a rejected client may retry."""
+
+from orchidhatch.gateway.decision_context import DecisionContext
+from orchidhatch.gateway.in_flight import InFlightRequest
+from orchidhatch.gateway.load_balancing import LoadBalancer
+from orchidhatch.gateway.overload import OverloadController
+from orchidhatch.gateway.reasons import EndReason, RejectionReason
+from orchidhatch.gateway.times import NEVER
+
+
+class RetryAfter:
+    """The Retry-After delays of rejections: in how long there should be capacity for the request."""
+
+    def __init__(
+        self, context: DecisionContext, balancer: LoadBalancer, overload: OverloadController
+    ) -> None:
+        self.context = context
+        self.balancer = balancer
+        self.overload = overload
+
+    def delay_us(self, request: InFlightRequest, reason: EndReason) -> int:
+        """The delay in microseconds, at most the settings' `max_retry_after_us`.
+
+        It is the expected wait for capacity and up to once more by chance, as clients that were rejected
+        together would else come back together. It is never less: a retry before that gains nothing.
+        """
+        max_us = self.context.settings.max_retry_after_us
+        return round(min(max_us, self.capacity_wait_us(request, reason) * (1 + self.context.random.random())))
+
+    def capacity_wait_us(self, request: InFlightRequest, reason: EndReason) -> float:
+        """In how long there should be capacity for what the request lacked; NEVER if none is in sight."""
+        customer = request.customer
+        if self.overload.n_past is not None:  # Requests queue for the admission limit already.
+            return NEVER
+        if reason is RejectionReason.TOO_MANY_OPEN_REQUESTS:
+            return self.balancer.mean_us[request.class_index]
+        if reason is RejectionReason.OVER_QUOTA:
+            return customer.quota_wait_us(request.units)
+        if not request.servers and customer.lacks_ceiling_units(request.units):
+            return customer.ceiling_wait_us(request.units)
+        return self.overload.period_length_us  # Slots and servers' capacity change within a period.
--- a/tests/gateway/test_many_servers.py
+++ b/tests/gateway/test_many_servers.py
@@ -131,7 +131,7 @@
         for name, attempt in list(world.out):
             if chance.random() < 0.6:
                 world.answer(name, chance.choice(RESULTS), attempt)
-        for job in list(world.gateway.requests.values())[:3]:
+        for job in list(world.gateway.requests)[:3]:
             expected = brute_force_room(world, job)
             assert [server.endpoint.name for server in world.gateway.balancer.room(job)] == expected
 
--- a/tests/gateway/test_retries.py
+++ b/tests/gateway/test_retries.py
@@ -12,6 +12,7 @@
 from orchidhatch.gateway.events import (
     ClientGone,
 )
+from orchidhatch.gateway.reasons import RejectionReason
 from orchidhatch.gateway.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
 from tests.helpers import MS, SAFE, SETTINGS, S, World, of
 
@@ -112,10 +113,10 @@
     assert all(time == 2 * S for time in told[1:])  # others ask more than the rate: no room is foreseen
     world.run(3 * S)  # they are gone
     assert not advice(world.ask("b"))
-    job = world.gateway.requests["b"]
+    job = world.gateway.requests.by_id["b"]
     world.gateway.overload.n_past = None  # nobody answers here, and the cap had engaged
     job.customer.demand, job.customer.level = 1.0, 0.4
-    waits = [world.gateway.retries.retry_after_us(job, "quota") for _ in range(20)]
+    waits = [world.gateway.retry_after.delay_us(job, RejectionReason.OVER_QUOTA) for _ in range(20)]
     assert min(waits) >= 300 * MS and max(waits) <= 600 * MS  # 0.6 of a unit at 2 a second
 
 
@@ -125,19 +126,22 @@
     world = World(settings)
     gateway = world.gateway
     world.ask("a")
-    job = gateway.requests["a"]
+    job = gateway.requests.by_id["a"]
     job.customer.ceiling, job.servers = 0.5, []
-    waits = {gateway.retries.retry_after_us(job, "aim") for _ in range(20)}
+    waits = {gateway.retry_after.delay_us(job, RejectionReason.RATE_CEILING) for _ in range(20)}
     assert len(waits) > 10 and min(waits) >= 25 * MS and max(waits) <= 50 * MS  # 0.5 of a unit at 20 a second
 
 
 def test_under_the_cap_no_room_is_foreseen() -> None:
     world = World(replace(SETTINGS, max_retry_after_us=2 * S))
     world.ask("a")
-    job = world.gateway.requests["a"]
-    assert world.gateway.retries.retry_after_us(job, "timeout") <= 2 * world.gateway.overload.period_length_us
+    job = world.gateway.requests.by_id["a"]
+    assert (
+        world.gateway.retry_after.delay_us(job, AttemptResult.TIMEOUT)
+        <= 2 * world.gateway.overload.period_length_us
+    )
     world.gateway.overload.n_past = 10.0
-    assert world.gateway.retries.retry_after_us(job, "timeout") == 2 * S
+    assert world.gateway.retry_after.delay_us(job, AttemptResult.TIMEOUT) == 2 * S
 
 
 def test_without_advice_in_the_settings_none_is_given() -> None:
--- a/tests/gateway/test_simulator.py
+++ b/tests/gateway/test_simulator.py
@@ -116,7 +116,7 @@
         name, *parts = line.split(" ")
         if name != "M":
             host.event(name, parts, iter(SHEET.splitlines()[1:]))
-    server = host.gateways[0].requests["rq_a"].servers[0].endpoint.name
+    server = host.gateways[0].requests.by_id["rq_a"].servers[0].endpoint.name
     host.event("ATTEMPT_END", ["rq_a", "1", "0", server, "served", "9", "-", "-", "9,0.4"], iter(()))
     assert host.gateways[0].overload.signals["util"] == [0.4]
 
--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -267,14 +267,16 @@
     name = next(str(n) for n in range(9) if zlib.crc32(str(n).encode()) % 3)  # at home elsewhere
     world.ask("r1", customer=name, units=10.0, set_size=3)
     (customer,) = world.gateway.quotas.customers.values()
-    assert world.gateway.awaiting_grant and not customer.is_leader
+    assert world.gateway.admission.awaiting_grant and not customer.is_leader
     world.tell(ClientGone("r1"))
     word = GossipMessage(*customer.key, True, 10.0, 0.0, 10.0, level, 0, SlotGrant.NONE)
     for _ in range(2):
         world.tell(PeerMessage(customer.leader, (word,), ()))
     assert customer.unreported_spend == (-10.0 if level >= 10 else 0.0)
     assert (
-        not world.gateway.awaiting_grant and not world.gateway.requests and not of(SendAttempt, world.run(S))
+        not world.gateway.admission.awaiting_grant
+        and not world.gateway.requests
+        and not of(SendAttempt, world.run(S))
     )
 
 
--- a/tests/proxy/test_guards.py
+++ b/tests/proxy/test_guards.py
@@ -135,7 +135,7 @@
     backend = Backend()
     async with front_door(backend) as (gateway, address):
         await leave_idle_connection(gateway, backend, monkeypatch)
-        gateway.core.dequeue = lambda: None  # the core holds what comes
+        gateway.core.queue.dequeue = lambda: None  # the core holds what comes
         client = await Client.open(address)
         client.send(query("a1"))
         await until(lambda: "a1" in gateway.requests.open)
@@ -174,7 +174,7 @@
     """A request that the core has been made to hold, so that the test acts for the core."""
     backend = Backend(lambda words: None)
     async with front_door(backend) as (gateway, address):
-        gateway.core.dequeue = lambda: None
+        gateway.core.queue.dequeue = lambda: None
         client = await Client.open(address)
         client.send(command)
         await until(lambda: "a1" in gateway.requests.open)
@@ -317,7 +317,7 @@
     """Where its reading is paused no gap is needed for the end to be unread."""
     backend = Backend()
     async with front_door(backend) as (gateway, address):
-        gateway.core.dequeue = lambda: None
+        gateway.core.queue.dequeue = lambda: None
         client = await Client.open(address)
         client.send(query("a1"))
         await until(lambda: "a1" in gateway.requests.open)
--- a/tests/proxy/test_wait_queues.py
+++ b/tests/proxy/test_wait_queues.py
@@ -215,7 +215,7 @@
         assert metrics['proxy_unserved_total{reason="crowded"}'] == 1
         assert metrics['proxy_deferred_total{group="read"}'] == 1
         client.writer.close()
-        await until(lambda: not gateway.requests.open and not gateway.core.open)
+        await until(lambda: not gateway.requests.open and not gateway.core.requests.open_count)
         backend.answer = lambda words: value(b"ok")
         assert await other.ask(query("a2")) == b"ok"
 
@@ -229,9 +229,9 @@
         client.send(submit("f1", body=b"B" * 60_000))
         await until(lambda: gateway.requests.open)
         assert str(await other.ask(submit("a1", body=b"B" * 60_000))).startswith("-BUSY ")
-        assert gateway.requests.held_bytes == gateway.core.open_bytes < 100_000
+        assert gateway.requests.held_bytes == gateway.core.requests.open_bytes < 100_000
         client.writer.close()
-        await until(lambda: not gateway.core.open_bytes)
+        await until(lambda: not gateway.core.requests.open_bytes)
         assert gateway.requests.held_bytes == 0
 
 
@@ -245,13 +245,13 @@
     ]
     for n in range(4):
         assert of(SendAttempt, world.ask(f"a{n}", size_bytes=100))
-    assert world.gateway.open == 4 and world.gateway.open_bytes == 400
+    assert world.gateway.requests.open_count == 4 and world.gateway.requests.open_bytes == 400
     [refused] = of(Reject, world.ask("b", size_bytes=100))
     assert 0 < refused.retry_after_us <= WORLD.max_retry_after_us
     for n, end in enumerate(ends):
         end(f"a{n}")
         world.run(7 * S)  # past the time of what is tried again
-    assert world.gateway.open == 0 and world.gateway.open_bytes == 0
+    assert world.gateway.requests.open_count == 0 and world.gateway.requests.open_bytes == 0
     assert of(Reject, world.ask("c", size_bytes=1001))
 
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -14,7 +14,6 @@
 UNFINISHED = frozenset(
     (
         "gateway/constants.py",
-        "gateway/core.py",
         "gateway/handover.py",
         "gateway/load_balancing.py",
         "gateway/membership.py",
@@ -22,7 +21,6 @@
         "gateway/peer_outbox.py",
         "gateway/quota.py",
         "gateway/quota_leaders.py",
-        "gateway/retries.py",
         "gateway/server_index.py",
         "gateway/simulator.py",
         "proxy/__main__.py",
