--- a/orchidhatch/gateway/attempt_learning.py
+++ b/orchidhatch/gateway/attempt_learning.py
@@ -8,7 +8,7 @@
 from orchidhatch.gateway.gossip import AttemptObservation
 from orchidhatch.gateway.in_flight import InFlightRequest
 from orchidhatch.gateway.load_balancing import LoadBalancer, Server
-from orchidhatch.gateway.overload import OverloadController
+from orchidhatch.gateway.overload import OccupancySignal, OverloadController
 from orchidhatch.gateway.peer_outbox import PeerOutbox
 
 RESULTS_WITH_LATENCY = (AttemptResult.OK, AttemptResult.TIMEOUT)
@@ -37,7 +37,7 @@
         relative_latency = event.latency_us / request.rule.latency_objective_us if has_latency else 0.0
         report = event.report or LoadReport()
         if report.util is not None:
-            self.overload.signals["util"].append(report.util)
+            self.overload.observe(OccupancySignal.UTILIZATION, report.util)
         if result in OBSERVED_RESULTS:
             succeeded = result is AttemptResult.OK
             self.outbox.add_observation(
@@ -53,7 +53,7 @@
         ):
             request.customer.spend(event.actual_units - request.units)
         if has_latency:
-            self.overload.signals["latency"].append(min(1.0, relative_latency))
+            self.overload.observe(OccupancySignal.LATENCY, min(1.0, relative_latency))
 
     def learn_from_peer(self, observations: Iterable[AttemptObservation]) -> None:
         """Learn from attempts of another gateway."""
@@ -64,7 +64,7 @@
                 continue
             relative_latency = observation.relative_latency
             if observation.succeeded or relative_latency:
-                self.overload.signals["latency"].append(relative_latency)
+                self.overload.observe(OccupancySignal.LATENCY, relative_latency)
             objective_us = classes[observation.class_index].latency_objective_us
             latency_us = relative_latency * objective_us
             self.balancer.observe(server, observation.class_index, observation.succeeded, latency_us)
--- a/orchidhatch/gateway/core.py
+++ b/orchidhatch/gateway/core.py
@@ -1,6 +1,8 @@
 """The decision core of one gateway: hands events to the components that they concern, and sets the timer."""
 
 import math
+from collections.abc import Callable
+from typing import Any
 
 from orchidhatch.gateway import actions, events, snapshots
 from orchidhatch.gateway.admission import Admission
@@ -87,7 +89,11 @@
             self.counters,
         )
         self.timer_due_us = NEVER
-        self.on = {
+        self.handlers = self.event_handlers()
+
+    def event_handlers(self) -> dict[type, Callable[[Any], None]]:
+        """The handler of each kind of event that the core acts on."""
+        return {
             events.Request: self.admission.on_request,
             events.AttemptEnded: self.attempts.on_attempt_ended,
             events.TimerExpired: self.on_timer,
@@ -122,7 +128,7 @@
         if self.overload.period_start_us < 0:
             self.overload.period_start_us = now_us
             context.started_us = now_us
-        handler = self.on.get(type(event))
+        handler = self.handlers.get(type(event))
         if handler is not None:
             handler(event)
         self.outbox.send()
--- a/orchidhatch/gateway/overload.py
+++ b/orchidhatch/gateway/overload.py
@@ -1,101 +1,212 @@
-"""The cap: Dynamic Processor Overload Control, section 2 of the paper, on this gateway's first attempts."""
+"""Overload control: limits new requests per control period (Somoza, section 2).
+
+The control period is the paper's OPPUI, of one or two of its call control periods. N is the limit on
+admissions (first attempts) in a control period, NA their number. The signals that stand for occupancy, and
+that N is lifted in light traffic, are the DESIGN's; each gateway has its share of N for all.
+"""
 
 import math
 from collections.abc import Callable, Iterable
+from dataclasses import dataclass
+from enum import Enum, auto
 
 from orchidhatch.gateway.constants import CC_PERIOD_US, LEAST_OUT, MOST_PERIODS, START_PER_SERVER, TICK_US
 from orchidhatch.gateway.decision_context import DecisionContext
 from orchidhatch.gateway.times import S
 
-RATE_SMOOTH = 0.3  # weight of a period's sends in a running mean
-FAIR_N = 10  # the OPPUI is one or two Call Control Periods, for an N that is fair-sized
-MAX_INCREASE, MAX_DECREASE = 0.2, 0.1  # the largest step of N in a second, against noise
-ADDL_DECREMENT, MIN_FRACTION_CALLS = 0.1, 0.75  # extra step at occ_too_high; part of N that counts as low
-# max_occup, occ_too_high, min_occup: reports of busy cores are late; a mean at half the aim has a tail.
-TARGETS = {"util": (0.92, 0.97, 0.75), "latency": (0.5, 0.7, 0.35)}
+RATE_SMOOTHING = 0.3
+"""Weight of the last period in the running mean of the rate of admissions."""
+
+ADMISSIONS_PER_PERIOD = 10
+"""Where fewer are admitted in a call control period, the control period is made longer."""
+
+MAX_INCREASE_PER_S = 0.2
+"""max.increase: the largest rise of N, as a fraction a second."""
+
+MAX_DECREASE_PER_S = 0.1
+"""max.decrease: the largest fall of N, as a fraction a second."""
+
+ADDL_DECREMENT_PER_S = 0.1
+"""addl.decrement: the further fall of N at occ.too.high, as a fraction a second."""
+
+MIN_FRACTION_CALLS = 0.75
+"""min.fraction.calls: at a lower fraction of N, and below min.occup, N is not updated."""
+
+ROUNDING_TOLERANCE = 1e-9
+"""What a limit that is whole but for floating-point error may lack."""
+
+
+class OccupancySignal(Enum):
+    """What occupancy is inferred from (DESIGN, signal).
+
+    UTILIZATION is how much of their cores the servers report busy; LATENCY the latency of attempts over the
+    latency objective of their class, at most 1.
+    """
+
+    UTILIZATION = auto()
+    LATENCY = auto()
+
+
+@dataclass(frozen=True, slots=True)
+class OccupancyTargets:
+    """The paper's parameters max.occup, occ.too.high and min.occup (section 2)."""
+
+    max_occup: float
+    occ_too_high: float
+    min_occup: float
+
+
+TARGETS = {
+    OccupancySignal.UTILIZATION: OccupancyTargets(max_occup=0.92, occ_too_high=0.97, min_occup=0.75),
+    # Lower, as latencies spread: with a mean of half the objective, some attempts miss it.
+    OccupancySignal.LATENCY: OccupancyTargets(max_occup=0.5, occ_too_high=0.7, min_occup=0.35),
+}
 
 
 class OverloadController:
-    """N for this period, re-derived at the end of each OPPUI, and what is out at once."""
+    """Limits first attempts per control period, and attempts in flight at all times.
+
+    `n_past` is this gateway's share of N before it is rounded, None while N is lifted; `limit` is what holds
+    in this period. `occupancy` is the last one inferred, `overhead` the lowest in light traffic, both as
+    fractions; `rate` is the mean number of admissions a second.
+    """
 
     def __init__(self, context: DecisionContext) -> None:
         self.context = context
-        self.n_past: float | None = None  # no N: the cap is lifted
-        self.limit = 0  # N as it holds this period
-        self.left_of_n = context.random.random()  # what rounding left
-        self.occupancy = 0.0  # as last inferred, for the log
-        self.overhead, self.in_flight = 1.0, 0
-        self.admitted = 0  # first attempts of this period
-        self.period_start_us, self.period_length_us = -1, CC_PERIOD_US
-        self.rate = 0.0  # first attempts a second
-        self.signals: dict[str, list[float]] = {"util": [], "latency": []}
-
-    def allowance(self, warm: float) -> bool:
-        """Whether one more first attempt may leave now; `warm` is what the servers can do, in servers."""
-        context = self.context
-        part = min(1.0, (context.now_us - self.period_start_us + TICK_US) / self.period_length_us)
-        # Servers that hold too much may not come back for long: what is out is bounded, cap or no cap, and a
-        # cold server holds only its part.
-        most = max(LEAST_OUT, round(START_PER_SERVER * warm / context.settings.gateway_count))
-        return self.in_flight < most and (self.n_past is None or self.admitted < math.ceil(self.limit * part))
+        self.n_past: float | None = None
+        self.limit = 0
+        # What rounding down has left for the next period; gateways start with different remainders.
+        self.limit_remainder = context.random.random()
+        self.occupancy = 0.0
+        self.overhead = 1.0
+        self.in_flight = 0
+        self.admitted = 0
+        self.period_start_us = -1
+        self.period_length_us = CC_PERIOD_US
+        self.rate = 0.0
+        self.samples: dict[OccupancySignal, list[float]] = no_samples()
+
+    def observe(self, signal: OccupancySignal, occupancy: float) -> None:
+        """Count a sample of the occupancy in this period."""
+        self.samples[signal].append(occupancy)
+
+    def allowance(self, warm_servers: float) -> bool:
+        """Whether one more first attempt may be sent now; a server in slow start counts as its warm part.
+
+        Admissions are spread over the period. Attempts in flight are limited without N too, as servers that
+        hold too many may not recover for long.
+        """
+        elapsed_us = self.context.now_us - self.period_start_us + TICK_US
+        elapsed = min(1.0, elapsed_us / self.period_length_us)
+        gateways = self.context.settings.gateway_count
+        max_in_flight = max(LEAST_OUT, round(START_PER_SERVER * warm_servers / gateways))
+        if self.in_flight >= max_in_flight:
+            return False
+        return self.n_past is None or self.admitted < math.ceil(self.limit * elapsed)
 
     def end_period(self) -> None:
+        """End the control period, and count its admissions into the rate."""
         self.period_start_us += self.period_length_us
-        rate = self.admitted * S / self.period_length_us
-        self.rate += (RATE_SMOOTH if self.rate else 1) * (rate - self.rate)
-
-    def begin_period(self, ready: int, overdue: Callable[[], Iterable[float]]) -> None:
-        """N for the period that begins, by what the last one showed."""
-        self.update(self.admitted, ready, overdue)
-        was, most = self.period_length_us, min(MOST_PERIODS, round(FAIR_N / max(1.0, self.rate)))
-        self.period_length_us = CC_PERIOD_US * max(1, most)
+        period_rate = self.admitted * S / self.period_length_us
+        weight = RATE_SMOOTHING if self.rate else 1
+        self.rate += weight * (period_rate - self.rate)
+
+    def begin_period(self, servers: int, overdue_ages: Callable[[], Iterable[float]]) -> None:
+        """Set the length and the limit of the next control period by what the last one showed.
+
+        `servers` is the number that may be sent new work, `overdue_ages` what `update` takes.
+        """
+        self.update(self.admitted, servers, overdue_ages)
+        last_length_us = self.period_length_us
+        periods = min(MOST_PERIODS, round(ADMISSIONS_PER_PERIOD / max(1.0, self.rate)))
+        self.period_length_us = CC_PERIOD_US * max(1, periods)
         if self.n_past is not None:
-            self.n_past *= self.period_length_us / was
-            due = self.n_past + self.left_of_n
-            self.limit = math.floor(due)
-            self.left_of_n = due - self.limit
+            self.n_past *= self.period_length_us / last_length_us
+            self.round_limit(self.n_past)
         self.admitted = 0
 
-    def update(self, na_past: float, ready: int, overdue: Callable[[], Iterable[float]]) -> None:
-        """The paper's update. A cap in full use is not lifted: that floods servers that have just drained."""
-        kind = "util" if self.signals["util"] else "latency"
-        samples, targets = self.signals[kind], TARGETS[kind]
-        self.signals = {"util": [], "latency": []}
-        if kind == "latency":  # a jam answers nobody: what is out and overdue counts with its age so far
-            samples += overdue()
+    def round_limit(self, n: float) -> None:
+        """Round N down for the next period, and keep the remainder for the one after (section 2, step 3).
+
+        The share of one gateway of many is small: without the remainder, rounding alone would decide it.
+        """
+        with_remainder = n + self.limit_remainder
+        self.limit = math.floor(with_remainder)
+        self.limit_remainder = with_remainder - self.limit
+
+    def update(self, na_past: float, servers: int, overdue_ages: Callable[[], Iterable[float]]) -> None:
+        """Update N, lift it in light traffic, or engage it (section 2; DESIGN, signal).
+
+        `overdue_ages` gives the ages of attempts that take longer than usual, as occupancies: while servers
+        answer nobody, no latency is observed. N is not lifted while it is in full use: that would flood
+        servers that have just recovered.
+        """
+        has_reports = bool(self.samples[OccupancySignal.UTILIZATION])
+        signal = OccupancySignal.UTILIZATION if has_reports else OccupancySignal.LATENCY
+        targets = TARGETS[signal]
+        samples = self.samples[signal]
+        self.samples = no_samples()
+        if signal is OccupancySignal.LATENCY:
+            samples += overdue_ages()
         if not samples:
             return
-        occup, was = min(1.0, sum(samples) / len(samples)), self.n_past
-        self.occupancy = occup
-        if occup < targets[2] and (was is None or na_past < MIN_FRACTION_CALLS * was):
-            self.overhead, self.n_past = min(self.overhead, occup), None
+        occup_past = min(1.0, sum(samples) / len(samples))
+        self.occupancy = occup_past
+        if occup_past < targets.min_occup and self.has_few_admissions(na_past):
+            self.overhead = min(self.overhead, occup_past)
+            self.n_past = None
             return
-        # N is rounded down as that of all gateways: one of many has so small a part that rounding it, and
-        # not the servers, would decide. Its part's fraction is left for the next period.
-        alike, seconds = self.context.settings.gateway_count, self.period_length_us / S
-        if was is None:  # it engages by a step from what was sent: less at once would be no clamped step
-            was = max(1, START_PER_SERVER * ready * self.period_length_us // S // alike, round(na_past))
-        overhead = min(self.overhead, targets[2] / 2)
-        self.n_past = next_n(round(was * alike), na_past * alike, occup, overhead, targets, seconds) / alike
+        # N is that of all gateways, so that rounding it down matters less.
+        gateways = self.context.settings.gateway_count
+        seconds = self.period_length_us / S
+        n_past = self.first_limit(na_past, servers) if self.n_past is None else self.n_past
+        overhead = min(self.overhead, targets.min_occup / 2)
+        n_of_all = next_n(
+            round(n_past * gateways), na_past * gateways, occup_past, overhead, targets, seconds
+        )
+        self.n_past = n_of_all / gateways
+
+    def has_few_admissions(self, na_past: float) -> bool:
+        """Whether fewer were admitted than the fraction of N at which N is of use."""
+        return self.n_past is None or na_past < MIN_FRACTION_CALLS * self.n_past
+
+    def first_limit(self, na_past: float, servers: int) -> float:
+        """N of this gateway when it engages: a few attempts per server, but no less than were admitted."""
+        gateways = self.context.settings.gateway_count
+        attempts = START_PER_SERVER * servers * self.period_length_us // S // gateways
+        return max(1, attempts, round(na_past))
+
+
+def no_samples() -> dict[OccupancySignal, list[float]]:
+    """The samples of a period that has begun."""
+    return {signal: [] for signal in OccupancySignal}
 
 
 def next_n(
     n_past: int,
     na_past: float,
-    occup: float,
+    occup_past: float,
     overhead: float,
-    targets: tuple[float, ...],
+    targets: OccupancyTargets,
     seconds: float = 1.0,
 ) -> int:
-    """The paper's update of N, rounded down; `targets` are max_occup, occ_too_high and min_occup."""
-    max_occup, occ_too_high, min_occup = targets
-    if occup < min_occup and na_past < MIN_FRACTION_CALLS * n_past:
+    """N for the next control period by the paper's algorithm (section 2, steps 1 to 3), at least 1.
+
+    `n_past` and `na_past` are N and the admissions of the last period, which lasted `seconds`; the other
+    arguments are fractions.
+    """
+    if occup_past < targets.min_occup and na_past < MIN_FRACTION_CALLS * n_past:
         return n_past
-    lowest, highest = n_past * (1 - MAX_DECREASE) ** seconds, n_past * (1 + MAX_INCREASE) ** seconds
-    n_prelim = highest if occup <= overhead else (max_occup - overhead) / (occup - overhead) * na_past
-    n_next = min(max(n_prelim, lowest), highest)
-    if occup >= occ_too_high:
-        n_next = max(n_prelim, lowest) * (1 - ADDL_DECREMENT) ** seconds
+    lowest = n_past * (1 - MAX_DECREASE_PER_S) ** seconds
+    highest = n_past * (1 + MAX_INCREASE_PER_S) ** seconds
+    if occup_past <= overhead:  # Ours: step 1 has no solution.
+        n_prelim = highest
+    else:
+        n_prelim = (targets.max_occup - overhead) / (occup_past - overhead) * na_past
+    if occup_past >= targets.occ_too_high:
+        n_next = max(n_prelim, lowest) * (1 - ADDL_DECREMENT_PER_S) ** seconds
     elif n_prelim - n_past >= 1 and highest - n_past < 1:
         n_next = n_past + 1
-    return max(1, math.floor(n_next + 1e-9))
+    else:
+        n_next = min(max(n_prelim, lowest), highest)
+    return max(1, math.floor(n_next + ROUNDING_TOLERANCE))
--- a/tests/gateway/test_core.py
+++ b/tests/gateway/test_core.py
@@ -98,7 +98,6 @@
         "peer_outbox",
         "reasons",
         "request_counters",
-        "request_registry",
         "server_record",
         "customer_record",
         "server_index",
--- a/tests/gateway/test_metric_names.py
+++ b/tests/gateway/test_metric_names.py
@@ -21,9 +21,20 @@
 
 
 def test_names_stay_as_operators_know_them() -> None:
-    assert sorted(REJECTION_REASON_NAMES.values()) == sorted(
-        "policy banned crowded late quota open_cap ceiling cap server again".split()
+    reasons = (
+        "policy",
+        "banned",
+        "crowded",
+        "late",
+        "quota",
+        "open_cap",
+        "ceiling",
+        "cap",
+        "server",
+        "again",
     )
-    assert list(DECISION_SOURCE_NAMES.values()) == "part home old unheard answered silent".split()
+    assert tuple(REJECTION_REASON_NAMES.values()) == reasons
+    sources = ("part", "home", "old", "unheard", "answered", "silent")
+    assert tuple(DECISION_SOURCE_NAMES.values()) == sources
     assert end_reason_name(AttemptResult.NOT_SENT) == "moot"
     assert end_reason_name(RejectionReason.SERVER_FOR_RETRY) == "again"
--- a/tests/gateway/test_overload.py
+++ b/tests/gateway/test_overload.py
@@ -14,11 +14,11 @@
     PeerMessage,
 )
 from orchidhatch.gateway.gossip import AttemptObservation, GossipMessage
-from orchidhatch.gateway.overload import TARGETS, next_n
+from orchidhatch.gateway.overload import TARGETS, OccupancySignal, next_n, no_samples
 from orchidhatch.gateway.settings import Plan, RequestClass
 from tests.helpers import MS, SETTINGS, S, World, of, servers
 
-UTIL = TARGETS["util"]
+UTIL = TARGETS[OccupancySignal.UTILIZATION]
 
 
 def loaded_world(util: float, plans: tuple[Plan, ...] = (Plan(),)) -> World:
@@ -137,14 +137,14 @@
     world = World(replace(SETTINGS, plans=(Plan(),), gateway_count=40))
     gateway = world.gateway
     gateway.overload.n_past, gateway.overload.limit = 2.0, 2
-    gateway.overload.signals["latency"], gateway.overload.admitted = (
+    gateway.overload.samples[OccupancySignal.LATENCY], gateway.overload.admitted = (
         [0.2] * 9,
         2,
     )  # light, but all of N is used
     gateway.end_period()
     assert gateway.overload.n_past * S / gateway.overload.period_length_us == pytest.approx(2.4, abs=0.03)
     allowed = 0
-    gateway.overload.n_past, gateway.overload.signals = 0.25, {"util": [], "latency": []}
+    gateway.overload.n_past, gateway.overload.samples = 0.25, no_samples()
     for _ in range(40):
         gateway.end_period()
         gateway.overload.n_past = 0.25
@@ -159,7 +159,7 @@
     seen = tuple(AttemptObservation(server, 0, True, 0.1) for _ in range(12))
     for n in range(5):
         world.tell(PeerMessage(n + 1, (GossipMessage(n, 0, 0, 5),), seen))
-    world.gateway.overload.signals["latency"] += [0.9, 0.9]
+    world.gateway.overload.samples[OccupancySignal.LATENCY] += [0.9, 0.9]
     world.gateway.end_period()
     assert world.gateway.overload.n_past is None
     assert world.gateway.overload.occupancy == pytest.approx((60 * 0.1 + 2 * 0.9) / 62)
--- a/tests/gateway/test_simulator.py
+++ b/tests/gateway/test_simulator.py
@@ -22,6 +22,7 @@
 )
 from orchidhatch.gateway.gossip import AttemptObservation, GossipMessage, SlotGrant
 from orchidhatch.gateway.gossip_codec import pack_message, unpack_message
+from orchidhatch.gateway.overload import OccupancySignal
 from orchidhatch.gateway.simulator import Host, write_action
 
 ROOT = Path(__file__).parents[2]
@@ -118,7 +119,7 @@
             host.event(name, parts, iter(SHEET.splitlines()[1:]))
     server = host.gateways[0].requests.by_id["rq_a"].servers[0].endpoint.name
     host.event("ATTEMPT_END", ["rq_a", "1", "0", server, "served", "9", "-", "-", "9,0.4"], iter(()))
-    assert host.gateways[0].overload.signals["util"] == [0.4]
+    assert host.gateways[0].overload.samples[OccupancySignal.UTILIZATION] == [0.4]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -17,7 +17,6 @@
         "gateway/handover.py",
         "gateway/load_balancing.py",
         "gateway/membership.py",
-        "gateway/overload.py",
         "gateway/peer_outbox.py",
         "gateway/quota.py",
         "gateway/quota_leaders.py",
