--- a/tests/gateway/test_overload.py
+++ b/tests/gateway/test_overload.py
@@ -1,37 +1,21 @@
-"""The overload controller: N by the paper's formulas, its period, and what may be in flight."""
+"""Overload control: N by the paper's formulas, the control period, and the limit on attempts in flight."""
 
 from dataclasses import replace
 
 import pytest
 
-from orchidhatch.gateway.actions import (
-    SendAttempt,
-)
+from orchidhatch.gateway.actions import SendAttempt
 from orchidhatch.gateway.attempts import LoadReport
 from orchidhatch.gateway.endpoints import EndpointListKind
-from orchidhatch.gateway.events import (
-    EndpointList,
-    PeerMessage,
-)
+from orchidhatch.gateway.events import EndpointList, PeerMessage
 from orchidhatch.gateway.gossip import AttemptObservation, GossipMessage
 from orchidhatch.gateway.overload import TARGETS, OccupancySignal, next_n, no_samples
-from orchidhatch.gateway.settings import Plan, RequestClass
-from tests.helpers import MS, SETTINGS, S, World, of, servers
+from orchidhatch.gateway.settings import Plan
+from tests.helpers import MS, SETTINGS, S, World, loaded_world, servers
 
 UTIL = TARGETS[OccupancySignal.UTILIZATION]
 
 
-def loaded_world(util: float, plans: tuple[Plan, ...] = (Plan(),)) -> World:
-    patient = (RequestClass(latency_objective_us=6 * S, deadline_us=6 * S),)
-    world = World(replace(SETTINGS, plans=plans, gateway_count=2, classes=patient))
-    for n in range(20):
-        world.ask(f"w{n}")
-        world.run(50 * MS)
-        world.answer(f"w{n}", report=LoadReport(util=util))
-    world.run(20 * MS)
-    return world
-
-
 @pytest.mark.parametrize(
     ("n_past", "na_past", "occup", "overhead", "expected"),
     [
@@ -51,26 +35,27 @@
     assert next_n(n_past, na_past, occup, overhead, UTIL) == expected
 
 
-def test_cap_engages_spreads_and_is_lifted() -> None:
+def test_limit_engages_spreads_admissions_and_is_lifted() -> None:
     world = loaded_world(0.9)
     assert world.gateway.overload.n_past == 20.5  # (0.92 - 0.1) / (0.9 - 0.1) times the 20 that were sent
     for n in range(150):
         world.ask(f"r{n}", customer=f"c{n}")
     world.run(world.gateway.overload.period_start_us + S - world.now)
-    start, allowed = world.now, world.gateway.overload.limit
+    start = world.now
+    limit = world.gateway.overload.limit
     for _ in range(99):
         for name, attempt in list(world.out):
             world.answer(name, attempt=attempt)
         world.run(10 * MS)
     sends = [at for at, action in world.log if isinstance(action, SendAttempt) and at >= start]
-    assert len(sends) == allowed
+    assert len(sends) == limit
     assert sends[-1] - sends[0] > 0.8 * S
-    idle = loaded_world(0.3)
-    assert idle.gateway.overload.n_past is None
-    assert idle.gateway.overload.overhead == pytest.approx(0.3)
+    light = loaded_world(0.3)
+    assert light.gateway.overload.n_past is None
+    assert light.gateway.overload.overhead == pytest.approx(0.3)
 
 
-def test_period_follows_the_rate() -> None:
+def test_period_is_longer_at_a_low_rate() -> None:
     """With two requests a second, N of one or two a second would halve or double by rounding alone."""
     world = World(replace(SETTINGS, plans=(Plan(),), gateway_count=20), servers(10))
     for n in range(40):
@@ -84,7 +69,7 @@
     assert next_n(10, 10, 0.2, 0.3, UTIL, 4.0) == 20
 
 
-def test_cap_in_full_use_is_not_lifted() -> None:
+def test_limit_in_full_use_is_not_lifted() -> None:
     world = loaded_world(0.9)
     for n in range(60):
         world.ask(f"r{n}")
@@ -95,20 +80,8 @@
     assert world.gateway.overload.n_past == 24.5  # the largest step from 20.5, to a half: of two gateways
 
 
-def test_held_leave_by_worth_then_arrival() -> None:
-    plans = (Plan(priority_factor=1.0), Plan(priority_factor=3.0))
-    world = loaded_world(0.9, plans)
-    for n in range(30):
-        world.ask(f"fill{n}")
-    world.ask("low1")
-    world.ask("high1", plan_index=1, customer="d")
-    world.ask("high2", plan_index=1, customer="d")
-    order = [action.id for action in of(SendAttempt, world.run(S))]
-    assert order[:2] == ["high1", "high2"]
-
-
-def test_attempts_out_at_once_are_bounded() -> None:
-    """Servers that answer nobody must not be given more and more, whatever the cap says."""
+def test_attempts_in_flight_are_limited_without_n() -> None:
+    """Servers that answer nobody must not be sent more and more while N is lifted."""
     worlds = [
         World(replace(SETTINGS, plans=(Plan(),), gateway_count=5, gateway_index=me), servers(10))
         for me in range(5)
@@ -124,7 +97,7 @@
 
 
 def test_overdue_attempts_raise_the_latency_signal() -> None:
-    """A jam answers nobody; waiting for answers would leave the cap lifted."""
+    """Jammed servers answer nobody; waiting for answers would leave N lifted."""
     world = World(replace(SETTINGS, plans=(Plan(),)))
     for n in range(20):
         world.ask(f"r{n}")
@@ -132,27 +105,27 @@
     assert world.gateway.overload.n_past is not None
 
 
-def test_a_small_part_of_n_follows_the_servers_and_not_its_rounding() -> None:
-    """Forty gateways with N near two each: a fifth more a period is lost if each rounds its part down."""
+def test_small_limit_is_not_decided_by_rounding() -> None:
+    """Forty gateways with N near two each: a fifth more a period is lost if each rounds its share down."""
     world = World(replace(SETTINGS, plans=(Plan(),), gateway_count=40))
     gateway = world.gateway
-    gateway.overload.n_past, gateway.overload.limit = 2.0, 2
-    gateway.overload.samples[OccupancySignal.LATENCY], gateway.overload.admitted = (
-        [0.2] * 9,
-        2,
-    )  # light, but all of N is used
+    gateway.overload.n_past = 2.0
+    gateway.overload.limit = 2
+    gateway.overload.samples[OccupancySignal.LATENCY] = [0.2] * 9  # light, but all of N is used
+    gateway.overload.admitted = 2
     gateway.end_period()
     assert gateway.overload.n_past * S / gateway.overload.period_length_us == pytest.approx(2.4, abs=0.03)
-    allowed = 0
-    gateway.overload.n_past, gateway.overload.samples = 0.25, no_samples()
+    admissions = 0
+    gateway.overload.n_past = 0.25
+    gateway.overload.samples = no_samples()
     for _ in range(40):
         gateway.end_period()
         gateway.overload.n_past = 0.25
-        allowed += gateway.overload.limit
-    assert 9 <= allowed <= 11
+        admissions += gateway.overload.limit
+    assert 9 <= admissions <= 11
 
 
-def test_occupancy_is_that_of_all_gateways() -> None:
+def test_occupancy_includes_peers_observations() -> None:
     """A few slow answers here are chance where the others' are quick."""
     world = World(replace(SETTINGS, gateway_count=40))
     server = world.gateway.balancer.servers["s0"].checksum
@@ -165,8 +138,8 @@
     assert world.gateway.overload.occupancy == pytest.approx((60 * 0.1 + 2 * 0.9) / 62)
 
 
-def test_a_cold_server_counts_by_its_warmth_in_what_may_be_out() -> None:
-    """In a release most are cold: all that they cannot take would jam the few warm ones."""
+def test_server_in_slow_start_counts_by_its_warm_part() -> None:
+    """In a rolling release most servers are cold: what they cannot take would jam the few warm ones."""
     world = World(replace(SETTINGS, plans=(Plan(),), gateway_count=4), servers(20))
     world.tell(
         EndpointList(
--- /dev/null
+++ b/tests/gateway/test_retry_after.py
@@ -0,0 +1,59 @@
+"""The Retry-After delays of rejections."""
+
+from dataclasses import replace
+
+from orchidhatch.gateway.actions import Action, Reject
+from orchidhatch.gateway.attempts import AttemptResult
+from orchidhatch.gateway.reasons import RejectionReason
+from orchidhatch.gateway.settings import Plan
+from tests.helpers import MS, SETTINGS, S, World, of
+
+
+def delays_us(actions: list[Action]) -> list[int]:
+    return [action.retry_after_us for action in of(Reject, actions)]
+
+
+def test_over_quota_delay_lasts_until_quota_refills() -> None:
+    settings = replace(SETTINGS, plans=(Plan(rate=2.0, burst=2.0),), max_retry_after_us=2 * S)
+    world = World(settings)
+    delays = [delay for n in range(12) for delay in delays_us(world.ask(f"a{n}"))]
+    assert all(delay == 2 * S for delay in delays[1:])  # others' demand exceeds the rate
+    world.run(3 * S)  # that demand has aged
+    assert not delays_us(world.ask("b"))
+    request = world.gateway.requests.by_id["b"]
+    world.gateway.overload.n_past = None  # engaged, as no attempt was answered
+    request.customer.demand = 1.0
+    request.customer.level = 0.4
+    delays = [world.gateway.retry_after.delay_us(request, RejectionReason.OVER_QUOTA) for _ in range(20)]
+    assert min(delays) >= 300 * MS and max(delays) <= 600 * MS  # 0.6 of a unit at 2 a second
+
+
+def test_delays_are_spread_and_never_too_short() -> None:
+    """Clients that were rejected together retry apart, and none before there is capacity."""
+    plan = Plan(rate=50.0, burst=50.0, ceiling_rate=20.0, ceiling_burst=20.0)
+    settings = replace(SETTINGS, plans=(plan,), max_retry_after_us=2 * S)
+    world = World(settings)
+    gateway = world.gateway
+    world.ask("a")
+    request = gateway.requests.by_id["a"]
+    request.customer.ceiling = 0.5
+    request.servers = []
+    delays = {gateway.retry_after.delay_us(request, RejectionReason.RATE_CEILING) for _ in range(20)}
+    assert len(delays) > 10
+    assert min(delays) >= 25 * MS and max(delays) <= 50 * MS  # 0.5 of a unit at 20 a second
+
+
+def test_delay_is_longest_under_admission_limit() -> None:
+    world = World(replace(SETTINGS, max_retry_after_us=2 * S))
+    world.ask("a")
+    gateway = world.gateway
+    request = gateway.requests.by_id["a"]
+    delay_us = gateway.retry_after.delay_us(request, AttemptResult.TIMEOUT)
+    assert delay_us <= 2 * gateway.overload.period_length_us
+    gateway.overload.n_past = 10.0
+    assert gateway.retry_after.delay_us(request, AttemptResult.TIMEOUT) == 2 * S
+
+
+def test_delay_is_zero_where_settings_allow_none() -> None:
+    world = World(replace(SETTINGS, plans=(Plan(rate=2.0, burst=2.0),), max_retry_after_us=0))
+    assert set(delay for n in range(12) for delay in delays_us(world.ask(f"a{n}"))) == {0}
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A small driver for the module: settings, a server list and the bookkeeping of a fair world."""
+"""Drives decision cores in tests: settings, endpoints, and a world with a clock, timers and attempts."""
 
 import random
 from collections.abc import Iterable
@@ -9,10 +9,15 @@
 from orchidhatch.gateway.core import GatewayCore
 from orchidhatch.gateway.endpoints import Endpoint, EndpointListKind, EndpointState
 from orchidhatch.gateway.events import AttemptEnded, EndpointList, Event, PeerMessage, Request, TimerExpired
-from orchidhatch.gateway.settings import Plan, RequestClass, Settings
+from orchidhatch.gateway.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
 
-MS, S = 1_000, 1_000_000
+MS = 1_000
+S = 1_000_000
 SAFE = RequestClass(latency_objective_us=2 * S, deadline_us=6 * S)
+KEYED = RequestClass(
+    2 * S, 6 * S, idempotency=Idempotency.KEYED, dedup_scope=DeduplicationScope.ZONE, dedup_window_us=3 * S
+)
+UNSAFE = RequestClass(2 * S, 6 * S, idempotency=Idempotency.UNSAFE)
 PLAN = Plan(rate=10.0, burst=20.0)
 SETTINGS = Settings(
     seed=7,
@@ -33,6 +38,10 @@
 )
 
 
+def with_class(rule: RequestClass, **changes: object) -> Settings:
+    return replace(SETTINGS, classes=(rule,), **changes)
+
+
 def servers(count: int, **changes: object) -> tuple[Endpoint, ...]:
     return tuple(
         replace(Endpoint(f"s{n}", n % 2, 0, n // 2, EndpointState.UP), **changes) for n in range(count)
@@ -40,7 +49,7 @@
 
 
 class World:
-    """One gateway with the clock, the timers and the attempts that are out."""
+    """One gateway with its clock, timers and attempts in flight (`out`: server, time sent, timeout)."""
 
     def __init__(self, settings: Settings = SETTINGS, fleet: Iterable[Endpoint] = servers(4)) -> None:
         self.now = 100 * S
@@ -64,8 +73,9 @@
         return actions
 
     def run(self, time_us: int) -> list[Action]:
-        """Let time pass; the actions that timers brought."""
-        end, start = self.now + time_us, len(self.log)
+        """Let time pass, and return the actions that timers brought."""
+        end = self.now + time_us
+        start = len(self.log)
         while self.timers and min(self.timers)[0] <= end:
             due = min(self.timers)
             self.timers.remove(due)
@@ -86,11 +96,23 @@
         report: LoadReport | None = None,
     ) -> list[Action]:
         server, sent, _ = self.out.pop((name, attempt))
-        over = result is AttemptResult.OK
-        event = AttemptEnded(name, over, attempt, server, result, self.now - sent, report=report)
+        is_final = result is AttemptResult.OK
+        event = AttemptEnded(name, is_final, attempt, server, result, self.now - sent, report=report)
         return self.tell(event)
 
 
+def loaded_world(util: float, plans: tuple[Plan, ...] = (Plan(),)) -> World:
+    """One of two gateways, after a second of answers that report the utilization."""
+    classes = (RequestClass(latency_objective_us=6 * S, deadline_us=6 * S),)
+    world = World(replace(SETTINGS, plans=plans, gateway_count=2, classes=classes))
+    for n in range(20):
+        world.ask(f"w{n}")
+        world.run(50 * MS)
+        world.answer(f"w{n}", report=LoadReport(util=util))
+    world.run(20 * MS)
+    return world
+
+
 def of(kind: type, actions: Iterable[Action]) -> list[Action]:
     return [action for action in actions if isinstance(action, kind)]
 
@@ -110,8 +132,10 @@
             for n in range(count)
         ]
         self.posted: list[tuple[int, SendGossip]] = []
-        self.random, self.loss, self.down = random.Random(3), loss, -1
-        self.lasts_us = 0  # how long an attempt is out, at least
+        self.random = random.Random(3)
+        self.loss = loss
+        self.down = -1
+        self.lasts_us = 0  # the shortest time for which an attempt is in flight
 
     def carry(self, sender: int, actions: Iterable[Action]) -> None:
         self.posted += [(sender, action) for action in of(SendGossip, actions)]
@@ -120,13 +144,14 @@
         self.carry(me, self.worlds[me].ask(name, set_size=len(self.worlds), **values))
 
     def run(self, time_us: int) -> None:
-        """Time goes by in steps of 10 ms: what was posted arrives, what is out is served."""
+        """Let time pass in steps of 10 ms, delivering messages and answering attempts."""
         for _ in range(time_us // (10 * MS)):
-            posted, self.posted = self.posted, []
-            for sender, told in posted:
-                if self.random.random() >= self.loss and self.down not in (sender, told.peer):
-                    event = PeerMessage(sender, told.messages, told.observations)
-                    self.carry(told.peer, self.worlds[told.peer].tell(event))
+            posted = self.posted
+            self.posted = []
+            for sender, gossip in posted:
+                if self.random.random() >= self.loss and self.down not in (sender, gossip.peer):
+                    event = PeerMessage(sender, gossip.messages, gossip.observations)
+                    self.carry(gossip.peer, self.worlds[gossip.peer].tell(event))
             for me, world in enumerate(self.worlds):
                 self.carry(me, world.run(10 * MS))
                 for (name, attempt), (_, sent, _) in list(world.out.items()):
@@ -134,7 +159,7 @@
                         self.carry(me, world.answer(name, attempt=attempt))
 
     def restart(self, me: int, seed: int) -> None:
-        """A gateway that was killed begins anew; its attempts are lost."""
+        """Replace a gateway that was killed by a new one; its attempts are lost."""
         world = self.worlds[me]
         world.out.clear()
         world.timers.clear()
