--- a/orchidhatch/gateway/actions.py
+++ b/orchidhatch/gateway/actions.py
@@ -1,4 +1,4 @@
-"""What the decision core wants done, as answers to events; carried out in order. Times are microseconds."""
+"""The actions that the decision core returns for an event, carried out in order; times are microseconds."""
 
 from dataclasses import dataclass
 
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: not taken, and a retry is harmless; 0 gives no time for it."""
+    """Final answer: not admitted, and a retry is harmless; a `retry_after_us` of 0 gives no advice."""
 
     id: str
     retry_after_us: int = 0
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed, with no promise about effects."""
+    """Final answer: failed; the request may have taken effect."""
 
     id: str
 
@@ -73,9 +73,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SendGossip:
-    """Send messages to one peer, and what was observed of the servers since the last time.
+    """Send messages to a peer, and what was observed of the servers since the last ones.
 
-    `waited_us` is how long the first message waited for the peer's pacing.
+    `waited_us` is how long the first message has waited in the outbox.
     """
 
     peer: int
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AddToCounter:
-    """Add to a number that the shared counter keeps."""
+    """Add to a number of the shared counter."""
 
     name: int
     amount: float
@@ -95,19 +95,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Watch the changes of the endpoint list, or stop."""
+    """Start or stop watching the endpoint list."""
 
     is_watching: bool
 
 
 @dataclass(frozen=True, slots=True)
 class FetchEndpointList:
-    """Ask for the whole endpoint list once."""
+    """Fetch the complete endpoint list once."""
 
 
 @dataclass(frozen=True, slots=True)
 class EjectionResult:
-    """Whether a SetEjection holds from now on; it does not where the server was never listed."""
+    """Whether a SetEjection is in force now; not if the server was never listed."""
 
     server: str
     is_ejected: bool
@@ -116,11 +116,11 @@
 
 @dataclass(frozen=True, slots=True)
 class MetricsSnapshot:
-    """How many servers are listed and how many of them ejected; what waits in the gateway, and since when.
+    """The state of the endpoint list, the request queue and the peer outbox.
 
-    `queued` requests are in the queue, or wait for a grant of their quota, the oldest for `queued_us`;
-    `messages` are the gossip messages that wait for their peers, the oldest for `messages_us`.
-    `messages_dropped` and `ended`, the requests ended unserved by reason, count since the start.
+    `ejected` are of the `listed` servers. `queued` requests are in the queue or await a grant of their quota,
+    the oldest for `queued_us`; `messages` are in the outbox, the oldest for `messages_us`. `messages_dropped`
+    and `ended`, the requests that ended unserved by reason, count since the start.
     """
 
     listed: int
@@ -135,7 +135,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitTimes:
-    """For how many microseconds requests have waited here since the last of these, by what for."""
+    """Microseconds that requests have waited since the last of these, summed, by what they waited for."""
 
     times: tuple[tuple[str, int], ...]
 
--- a/orchidhatch/gateway/attempts.py
+++ b/orchidhatch/gateway/attempts.py
@@ -7,9 +7,9 @@
 class AttemptResult(Enum):
     """How an attempt, a health check or a counter call ended.
 
-    NOT_SENT is an attempt that never left the gateway, as nobody waits for it any more; LOCAL_FAILURE one
-    that could not be sent for a reason on this machine, which says nothing of the server and may be retried.
-    REJECTED is one that the server had no capacity for.
+    NOT_SENT is an attempt that was dropped before it was sent, as its request needed it no more; LOCAL_FAILURE
+    one that failed on this machine before it was sent, which says nothing of the server. REJECTED is one that
+    the server had no capacity for.
     """
 
     OK = "ok"
@@ -31,7 +31,7 @@
         AttemptResult.LOCAL_FAILURE,
     )
 )
-"""Results of attempts whose request the server surely did not run."""
+"""Results of attempts that are certain not to have run."""
 
 OBSERVED_RESULTS = (
     AttemptResult.OK,
@@ -48,9 +48,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """A server's load as it reports it; None where it reports nothing of the kind.
+    """A server's load as it reports it; None for a figure that it does not report.
 
-    `util` is the busy part of its cores, `service_ms` its mean service time in milliseconds.
+    `util` is the busy fraction of its cores, `service_ms` its mean service time in milliseconds.
     """
 
     inflight: float | None = None
--- a/orchidhatch/gateway/decision_context.py
+++ b/orchidhatch/gateway/decision_context.py
@@ -1,4 +1,4 @@
-"""What all components of the decision core share while an event is handled."""
+"""The state that all components of the decision core share while an event is handled."""
 
 import random
 
@@ -10,8 +10,8 @@
 class DecisionContext:
     """The settings, the random source, the event's time in microseconds and the actions decided on so far.
 
-    `has_handover_peer` says that another process is this gateway too, while one takes over from the other;
-    `peer_is_unknown` that there may be one, of which nothing is heard.
+    `has_handover_peer` says that a second process serves as this gateway too, while one takes over from the
+    other; `peer_is_unknown` that there may be one whose attempts are not known.
     """
 
     def __init__(self, settings: Settings) -> None:
--- a/orchidhatch/gateway/events.py
+++ b/orchidhatch/gateway/events.py
@@ -1,7 +1,7 @@
-"""What happens to a gateway, as the decision core is told of it.
+"""The events that a gateway's decision core reacts to.
 
-Each event is handed to `core.GatewayCore.handle(now_us, event)`, which answers with the actions to carry out,
-in order. All times are whole microseconds.
+`core.GatewayCore.handle(now_us, event)` takes one and returns the actions to carry out, in order. Times are
+integers in microseconds.
 """
 
 from dataclasses import dataclass, replace
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """The whole endpoint list, changes to it, or that a call for it failed."""
+    """The complete endpoint list, changes to it, or that fetching it failed."""
 
     kind: EndpointListKind
     version: int
@@ -30,10 +30,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A client's request; the gateway now owes one final answer.
+    """A client's request, which the gateway owes one final answer from now on.
 
-    `time_left_us` is the time left to its deadline. The customer's quota is shared by `set_size` gateways
-    from `set_first` on. `size_bytes` is how many bytes the gateway keeps of it until it has ended.
+    `time_left_us` is the time to its deadline, `units` its cost in units of quota. The customer's quota is
+    shared by `set_size` gateways from the index `set_first` on. `size_bytes` is the memory that the gateway
+    needs for the request until it has ended.
     """
 
     id: str
@@ -51,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """A streamed answer has begun, so the attempt can be replaced by no other."""
+    """A streamed answer has begun: the request can no longer be retried."""
 
     id: str
     attempt: int
@@ -61,7 +62,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """How an attempt ended; each SendAttempt gets one. `is_final` says that the request has been answered."""
+    """How an attempt ended; one for each SendAttempt. `is_final` says that its client has its answer.
+
+    `actual_units` is the cost as it turned out, 0 where it is not known; `report` the server's load report.
+    """
 
     id: str
     is_final: bool
@@ -76,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientGone:
-    """The client left; nothing is owed any more."""
+    """The client has gone; it is owed no answer any more."""
 
     id: str
 
@@ -100,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """What another gateway sent, and the mark of the policy that its amounts go by; 0 for none."""
+    """Gossip of another gateway; `policy_mark` identifies the policy that its amounts go by, 0 none."""
 
     sender: int
     messages: tuple[GossipMessage, ...]
@@ -120,7 +124,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetEjection:
-    """An operator ejects a server, or readmits it as one that starts cold; answered by an EjectionResult."""
+    """An operator ejects a server, or readmits it for a slow start; answered by an EjectionResult."""
 
     server: str
     is_ejected: bool
@@ -128,10 +132,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicyChange:
-    """Other plans, latency objectives and bans hold from now on.
+    """Other plans, latency objectives and bans are in force from now on.
 
-    `plan_moves` has for each earlier plan its index now, -1 for one that is gone. Requests that were admitted
-    end by what held then.
+    `plan_moves` has for each earlier plan its new index, -1 for one that is gone. Requests that have
+    arrived keep the rules of their class.
     """
 
     classes: tuple[RequestClass, ...]
@@ -153,29 +157,29 @@
 
 @dataclass(frozen=True, slots=True)
 class SuspendAdmission:
-    """Nothing is to be admitted while suspended, as the gateway's policy lease has lapsed."""
+    """Suspends admission, as the gateway's policy lease has lapsed, or resumes it."""
 
     is_suspended: bool
 
 
 @dataclass(frozen=True, slots=True)
 class StartHandover:
-    """A successor takes over: answered by a GatewaySnapshot; from now on each sends what it does."""
+    """A successor process takes over; answered by a GatewaySnapshot, then by each change to the state."""
 
 
 @dataclass(frozen=True, slots=True)
 class HandoverPeerUnknown:
-    """Another process may be this gateway too, until a HandoverPeerGone; what it sends is not known."""
+    """A second process may serve as this gateway until a HandoverPeerGone; its attempts are not known."""
 
 
 @dataclass(frozen=True, slots=True)
 class HandoverPeerGone:
-    """The other process has ended, and its attempts with it."""
+    """The other process of a handover has ended, and its attempts with it."""
 
 
 @dataclass(frozen=True, slots=True)
 class MetricsRequest:
-    """Someone wants the gateway's metrics; answered by a MetricsSnapshot."""
+    """A request for the gateway's metrics; answered by a MetricsSnapshot."""
 
 
 Event = (
--- a/orchidhatch/gateway/in_flight.py
+++ b/orchidhatch/gateway/in_flight.py
@@ -1,4 +1,4 @@
-"""The requests that the gateway has taken and not finished."""
+"""The state of a request from its arrival until its last attempt has ended."""
 
 from orchidhatch.gateway.events import Request
 from orchidhatch.gateway.quota import Customer
@@ -41,7 +41,7 @@
         self.grant_requests = 0
 
     def may_reject(self) -> bool:
-        """Whether a client that is told to retry cannot have its request run twice."""
+        """Whether a client that retries after a rejection cannot have its request run twice."""
         idempotency = self.rule.idempotency
         has_key = idempotency is Idempotency.KEYED and self.rule.dedup_scope is DeduplicationScope.ALL
         return self.first_server is None or idempotency is Idempotency.SAFE or has_key
