--- a/orchidhatch/gateway/attempts.py
+++ b/orchidhatch/gateway/attempts.py
@@ -7,9 +7,9 @@
 class AttemptResult(Enum):
     """How an attempt, a health check or a counter call ended.
 
-    NOT_SENT is an attempt that was dropped before it was sent, as its request needed it no more; LOCAL_FAILURE
-    one that failed on this machine before it was sent, which says nothing of the server. REJECTED is one that
-    the server had no capacity for.
+    NOT_SENT is an attempt that was dropped before it was sent, as its request needed it no more;
+    LOCAL_FAILURE one that failed on this machine before it was sent, which says nothing of the server.
+    REJECTED is one that the server had no capacity for.
     """
 
     OK = "ok"
