--- a/orchidhatch/gateway/admission.py
+++ b/orchidhatch/gateway/admission.py
@@ -18,7 +18,7 @@
 from orchidhatch.gateway.request_registry import RequestRegistry
 from orchidhatch.gateway.snapshots import CustomerKey
 
-MAX_GRANT_WAIT_SHARE = 8
+GRANT_WAIT_DIVISOR = 8
 """A grant is awaited for at most the latency objective divided by this."""
 
 MIN_TICKS_AFTER_GRANT_WAIT = 4
@@ -28,8 +28,8 @@
 class Admission:
     """Decides which requests are admitted, by the quota rule (DESIGN, quota rule).
 
-    A request is admitted while its customer's local share lasts, else by chance; a customer's quota leader
-    is asked for the chance where the gateway cannot know it.
+    A request is admitted while its customer's local share lasts, else with a probability, `chance`; where this
+    gateway cannot know that, it asks the customer's quota leader.
     """
 
     def __init__(
@@ -102,7 +102,7 @@
         return QuotaDecisionSource.NO_ANSWER
 
     def decide(self, request: InFlightRequest, chance: float, source: QuotaDecisionSource) -> None:
-        """Queue the request if it is within quota, by the chance given, or may exceed it; else reject it."""
+        """Queue the request if it is in quota, with the probability `chance`, or may exceed it; else reject it."""
         customer = request.customer
         self.counters.count_decision(source, self.context.now_us - customer.last_answer_us)
         request.is_in_quota = self.context.random.random() < chance
@@ -123,7 +123,7 @@
 
     def request_grant(self, request: InFlightRequest) -> None:
         """Ask the customer's quota leader, and wait for its answer."""
-        wait_us = min(ASK_US, request.rule.latency_objective_us // MAX_GRANT_WAIT_SHARE)
+        wait_us = min(ASK_US, request.rule.latency_objective_us // GRANT_WAIT_DIVISOR)
         latest_us = request.deadline_us - MIN_TICKS_AFTER_GRANT_WAIT * TICK_US
         request.grant_requests += 1
         request.decide_at_us = min(self.context.now_us + wait_us, latest_us)
