--- a/orchidhatch/proxy/backend_connection.py
+++ b/orchidhatch/proxy/backend_connection.py
@@ -14,7 +14,8 @@
 from orchidhatch.proxy.attempt import AbandonedAttempt, Attempt
 from orchidhatch.proxy.backend_replies import read_reply
 from orchidhatch.proxy.clock import now_us
-from orchidhatch.proxy.cpu_accounting import Account, Place
+from orchidhatch.proxy.cpu_accounting import CostCategory as Place
+from orchidhatch.proxy.cpu_accounting import CpuAccounting as Account
 from orchidhatch.proxy.idle_limit import IdleLimit
 from orchidhatch.proxy.resp import ProtocolError, ReplyReader
 
--- a/orchidhatch/proxy/backend_pool.py
+++ b/orchidhatch/proxy/backend_pool.py
@@ -12,11 +12,11 @@
 from orchidhatch.proxy.backend_connection import BackendConnection
 from orchidhatch.proxy.clock import now_us
 from orchidhatch.proxy.config import Address
-from orchidhatch.proxy.cpu_accounting import Account
+from orchidhatch.proxy.cpu_accounting import CpuAccounting as Account
 from orchidhatch.proxy.guards import Guard, Refusal
 from orchidhatch.proxy.idle_limit import IdleLimit
 from orchidhatch.proxy.local_errors import retry_local
-from orchidhatch.proxy.wait_queues import Waits
+from orchidhatch.proxy.wait_queues import WaitHistogram as Waits
 
 log = logging.getLogger(__name__)
 
--- a/orchidhatch/proxy/backends.py
+++ b/orchidhatch/proxy/backends.py
@@ -13,12 +13,13 @@
 from orchidhatch.proxy.backend_pool import BackendPool
 from orchidhatch.proxy.clock import now_us
 from orchidhatch.proxy.config import Address
-from orchidhatch.proxy.cpu_accounting import Account, Place
+from orchidhatch.proxy.cpu_accounting import CostCategory as Place
+from orchidhatch.proxy.cpu_accounting import CpuAccounting as Account
 from orchidhatch.proxy.guards import Guard
 from orchidhatch.proxy.idle_limit import FORGET_S, IdleLimit
 from orchidhatch.proxy.local_errors import error_name
 from orchidhatch.proxy.loop_watch import LoopWatch
-from orchidhatch.proxy.wait_queues import Waits
+from orchidhatch.proxy.wait_queues import WaitHistogram as Waits
 
 log = logging.getLogger(__name__)
 
--- a/orchidhatch/proxy/client_connection.py
+++ b/orchidhatch/proxy/client_connection.py
@@ -11,7 +11,7 @@
 from orchidhatch.proxy.command_parser import CommandError
 from orchidhatch.proxy.command_reader import CommandReader
 from orchidhatch.proxy.connection_state import ENDING_STATES, TRANSITIONS, CloseReason, ConnectionState
-from orchidhatch.proxy.cpu_accounting import Account, Place
+from orchidhatch.proxy.cpu_accounting import CostCategory, CpuAccounting
 from orchidhatch.proxy.guards import Guard, Refusal
 from orchidhatch.proxy.reply import FAILED_ANSWER, Reply
 from orchidhatch.proxy.resp import ProtocolError
@@ -33,7 +33,7 @@
 class ConnectionOwner(Protocol):
     """The set of connections that a connection belongs to, and what all of them share."""
 
-    account: Account
+    account: CpuAccounting
     guard: Guard
     metrics: ClientMetrics
     backlog: SendBacklog
@@ -117,7 +117,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Take the commands that are complete now."""
-        previous = self.clients.account.enter(Place.CLIENTS)
+        previous = self.clients.account.enter(CostCategory.CLIENTS)
         try:
             if not self.is_ending:
                 self._take_commands(data)
@@ -215,7 +215,7 @@
 
     def flush(self) -> None:
         """Write what is ready at the head of the answers."""
-        previous = self.clients.account.enter(Place.CLIENTS)
+        previous = self.clients.account.enter(CostCategory.CLIENTS)
         try:
             self._write_ready()
         finally:
--- a/orchidhatch/proxy/client_metrics.py
+++ b/orchidhatch/proxy/client_metrics.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 from orchidhatch.proxy.connection_state import CloseReason
-from orchidhatch.proxy.wait_queues import Waits
+from orchidhatch.proxy.wait_queues import WaitHistogram
 
 
 class ClientMetrics:
@@ -12,11 +12,11 @@
     def __init__(self) -> None:
         self.closes: Counter[CloseReason] = Counter()
         """Connections closed by the gateway."""
-        self.unread_waits = Waits()
+        self.unread_waits = WaitHistogram()
         """How long reading from a client was paused."""
-        self.partial_waits = Waits()
+        self.partial_waits = WaitHistogram()
         """How long a command was awaited."""
-        self.unsent_waits = Waits()
+        self.unsent_waits = WaitHistogram()
         """How long writing to a client was paused."""
         self.malformed_commands = 0
         """Commands that got an error."""
--- a/orchidhatch/proxy/client_sweeper.py
+++ b/orchidhatch/proxy/client_sweeper.py
@@ -6,7 +6,7 @@
 
 from orchidhatch.proxy.client_connection import ClientConnection, ConnectionOwner
 from orchidhatch.proxy.connection_state import CloseReason, ConnectionState
-from orchidhatch.proxy.cpu_accounting import Place
+from orchidhatch.proxy.cpu_accounting import CostCategory
 
 log = logging.getLogger(__name__)
 
@@ -31,7 +31,7 @@
             return
         self.is_scheduled = True
         loop = asyncio.get_running_loop()
-        loop.call_later(IDLE_SWEEP_INTERVAL_S, self.clients.account.run, Place.CLIENTS, self.sweep)
+        loop.call_later(IDLE_SWEEP_INTERVAL_S, self.clients.account.run, CostCategory.CLIENTS, self.sweep)
 
     def sweep(self) -> None:
         """Look at all connections now, and again later if any may need it."""
--- a/orchidhatch/proxy/clients.py
+++ b/orchidhatch/proxy/clients.py
@@ -9,7 +9,7 @@
 from orchidhatch.proxy.client_metrics import ClientMetrics
 from orchidhatch.proxy.client_sweeper import ClientSweeper
 from orchidhatch.proxy.connection_state import CloseReason
-from orchidhatch.proxy.cpu_accounting import Account
+from orchidhatch.proxy.cpu_accounting import CpuAccounting
 from orchidhatch.proxy.guards import Guard
 from orchidhatch.proxy.reply import Reply
 from orchidhatch.proxy.send_backlog import SendBacklog
@@ -29,13 +29,13 @@
         max_connections: int,
         take: Callable[[list[bytes], Reply], None],
         gone: Callable[[Reply], None],
-        account: Account | None = None,
+        account: CpuAccounting | None = None,
         guard: Guard | None = None,
     ) -> None:
         self.max_connections = max_connections
         self.take = take
         self.gone = gone
-        self.account = account or Account()
+        self.account = account or CpuAccounting()
         self.guard = guard or Guard()
         self.clock: Callable[[], float] = time.monotonic
         self.metrics = ClientMetrics()
--- a/orchidhatch/proxy/configuration_reload.py
+++ b/orchidhatch/proxy/configuration_reload.py
@@ -8,7 +8,7 @@
 from orchidhatch.proxy.endpoint_watch import EndpointWatcher
 from orchidhatch.proxy.event_dispatcher import EventDispatcher
 from orchidhatch.proxy.peers import Peers
-from orchidhatch.proxy.policy_guard import Watchfulness
+from orchidhatch.proxy.policy_guard import PolicyGuard
 
 log = logging.getLogger(__name__)
 
@@ -22,7 +22,7 @@
         dispatcher: EventDispatcher,
         discovery: EndpointWatcher,
         peers: Peers,
-        policy_guard: Watchfulness,
+        policy_guard: PolicyGuard,
     ) -> None:
         self.active = active
         self.dispatcher = dispatcher
@@ -52,6 +52,6 @@
         self.dispatcher.run_batch()
         self.active.replace_policy(config)
         self.peers.policy_mark = new.policy_mark
-        self.policy_guard.told = config.policy
-        self.policy_guard.begin(barred=False)
+        self.policy_guard.policy = config.policy
+        self.policy_guard.begin(is_suspended=False)
         log.info("goes by %s", config.policy.shown())
--- a/orchidhatch/proxy/cpu_accounting.py
+++ b/orchidhatch/proxy/cpu_accounting.py
@@ -1,156 +1,161 @@
-"""What the program spends: processor time by place, memory and descriptors.
+"""CPU time of the process by cost category, estimated from a sample of the event loop's callbacks.
 
-Each callback of the loop enters a place and leaves it again; what it has done for another place is that
-one's. Only some of the outermost entries, by chance, are timed, and stand for those that were not.
+Each callback enters a category and leaves it again; what it does for another category is counted there. Only
+some of the outermost entries, by chance, are timed, and stand for those that were not.
 """
 
-import os
 import random
-import resource
 import time
 from collections.abc import Callable, Coroutine, Generator
 from enum import IntEnum
 from types import coroutine
 from typing import Any
 
-EVERY = 8  # entries of which one is timed, on average: a reading of the clock costs half a microsecond
-NS = 1e9
+# Entries of which one is timed, on average: a reading of the clock costs half a microsecond.
+SAMPLING_INTERVAL = 8
+NS_PER_S = 1e9
 
 
-class Place(IntEnum):
-    """Where processor time goes; what is spent outside of all others is the loop's."""
+class CostCategory(IntEnum):
+    """What CPU time is spent on; LOOP is what is spent outside of all others."""
 
     LOOP = 0
     CLIENTS = 1
-    MODULE = 2
+    DECISION_CORE = 2
     BACKENDS = 3
     DISCOVERY = 4
     PEERS = 5
     MANAGEMENT = 6
     LOG = 7
 
+    @property
+    def label(self) -> str:
+        """The category's name on /metrics and in the log."""
+        return "module" if self is CostCategory.DECISION_CORE else self.name.lower()
 
-PLACES = tuple(Place)[1:]
 
+CHARGED_CATEGORIES = tuple(category for category in CostCategory if category is not CostCategory.LOOP)
 
-class Account:
-    """Processor time by place.
 
-    The gaps between timed entries are drawn, as those of a request come in a fixed order.
+class CpuAccounting:
+    """CPU time by category.
+
+    The gaps between timed entries are drawn from `seed`, as the entries of a request come in a fixed order.
+    `sampling_interval` is the number of entries of which one is timed, on average. The clocks give the CPU
+    time of the thread and of the process, in nanoseconds, and the monotonic time, in seconds.
     """
 
     def __init__(
         self,
         seed: int = 0,
-        every: int = EVERY,
-        clock: Callable[[], int] = time.thread_time_ns,
-        process_clock: Callable[[], int] = time.process_time_ns,
-        elapsed: Callable[[], float] = time.monotonic,
+        sampling_interval: int = SAMPLING_INTERVAL,
+        thread_clock_ns: Callable[[], int] = time.thread_time_ns,
+        process_clock_ns: Callable[[], int] = time.process_time_ns,
+        clock_s: Callable[[], float] = time.monotonic,
     ) -> None:
-        self.every, self.clock, self.process_clock, self.elapsed = every, clock, process_clock, elapsed
-        self.chance = random.Random(seed).random
-        self.spent = [0] * len(Place)  # as timed; those not timed come in by `every`
-        self.place, self.timed, self.since = Place.LOOP, False, 0
-        self.skip = 0  # entries until the next one that is timed
-        self.told_ns, self.told_s = process_clock(), elapsed()  # at the last interval's end
-        self.idle_s, self.idle_ns = 0.0, 0  # of the intervals without a request
-
-    def enter(self, place: Place) -> Place:
-        """From now on what is spent is this place's; gives the place to go back to on leaving."""
-        was, self.place = self.place, place
-        if was:
-            if self.timed:
-                self.charge(was)
-        elif self.skip:
-            self.skip -= 1
+        self.sampling_interval = sampling_interval
+        self.thread_clock_ns = thread_clock_ns
+        self.process_clock_ns = process_clock_ns
+        self.clock_s = clock_s
+        self.draw = random.Random(seed).random
+        self.sampled_ns = [0] * len(CostCategory)
+        """By category, of the timed entries only."""
+        self.category = CostCategory.LOOP
+        self.is_timed = False
+        """Whether the present entry is timed."""
+        self.charged_until_ns = 0
+        """Up to where the timed entry's time is charged."""
+        self.entries_to_skip = 0
+        self.interval_start_cpu_ns = process_clock_ns()
+        self.interval_start_s = clock_s()
+        self.idle_s = 0.0
+        """Time in intervals without a request."""
+        self.idle_cpu_ns = 0
+        """CPU time in those intervals."""
+
+    def enter(self, category: CostCategory) -> CostCategory:
+        """Charge what is spent from now on to `category`; return the one to go back to on leaving."""
+        previous = self.category
+        self.category = category
+        if previous is not CostCategory.LOOP:
+            if self.is_timed:
+                self._charge(previous)
+        elif self.entries_to_skip:
+            self.entries_to_skip -= 1
         else:
-            self.skip = int(self.chance() * (2 * self.every - 1))  # on average every - 1
-            self.timed, self.since = True, self.clock()
-        return was
-
-    def leave(self, was: Place) -> None:
-        if self.timed:
-            self.charge(self.place)
-            self.timed = bool(was)
-        self.place = was
-
-    def run(self, place: Place, call: Callable[..., None], *args: object) -> None:
-        """A call of the loop's, at this place."""
-        was = self.enter(place)
+            self.entries_to_skip = self._draw_gap()
+            self.is_timed = True
+            self.charged_until_ns = self.thread_clock_ns()
+        return previous
+
+    def _draw_gap(self) -> int:
+        """The entries until the next timed one: one less than the sampling interval on average."""
+        return int(self.draw() * (2 * self.sampling_interval - 1))
+
+    def leave(self, previous: CostCategory) -> None:
+        """Go back to the category that `enter` returned."""
+        if self.is_timed:
+            self._charge(self.category)
+            self.is_timed = previous is not CostCategory.LOOP
+        self.category = previous
+
+    def run(self, category: CostCategory, call: Callable[..., None], *args: object) -> None:
+        """Call a callback of the event loop in a category."""
+        previous = self.enter(category)
         try:
             call(*args)
         finally:
-            self.leave(was)
+            self.leave(previous)
 
-    def charge(self, place: Place) -> None:
-        now = self.clock()
-        self.spent[place] += now - self.since
-        self.since = now
+    def _charge(self, category: CostCategory) -> None:
+        now_ns = self.thread_clock_ns()
+        self.sampled_ns[category] += now_ns - self.charged_until_ns
+        self.charged_until_ns = now_ns
 
     @coroutine
-    def steps(self, place: Place, job: Coroutine[Any, Any, None]) -> Generator[Any, Any, None]:
-        """A job for a task, each of whose steps is this place's."""
-        resume, value = job.send, None
+    def steps(self, category: CostCategory, job: Coroutine[Any, Any, None]) -> Generator[Any, Any, None]:
+        """Run the coroutine of a task, each of whose steps is in the category."""
+        resume = job.send
+        value: Any = None
         while True:
-            was = self.enter(place)
+            previous = self.enter(category)
             try:
-                waits_for = resume(value)
+                awaited = resume(value)
             except StopIteration:
                 return
             finally:
-                self.leave(was)
+                self.leave(previous)
             try:
-                resume, value = job.send, (yield waits_for)
-            except BaseException as error:  # a cancellation too: the job is to see it
-                resume, value = job.throw, error
+                value = yield awaited
+                resume = job.send
+            except BaseException as error:  # a cancellation too, which the job has to see
+                value = error
+                resume = job.throw
 
-    def seconds(self, place: Place) -> float:
-        """The estimate for this place since the start."""
-        return self.spent[place] * self.every / NS
+    def estimated_s(self, category: CostCategory) -> float:
+        """The category's CPU time since the start, in seconds, by the timed entries."""
+        return self.sampled_ns[category] * self.sampling_interval / NS_PER_S
 
     def total_s(self) -> float:
-        """All processor time of the process, exactly."""
-        return self.process_clock() / NS
-
-    def interval(self, idle: bool) -> tuple[float, float]:
-        """The time and the processor time since the last call; kept apart if nothing was asked meanwhile."""
-        now_ns, now_s = self.process_clock(), self.elapsed()
-        took_ns, took_s = now_ns - self.told_ns, now_s - self.told_s
-        self.told_ns, self.told_s = now_ns, now_s
-        if idle:
-            self.idle_ns, self.idle_s = self.idle_ns + took_ns, self.idle_s + took_s
-        return took_s, took_ns / NS
-
-
-def resident_bytes() -> int | None:
-    """The memory that the process holds now; None where the system does not say."""
-    try:
-        with open("/proc/self/statm", "rb") as file:
-            return int(file.read().split()[1]) * resource.getpagesize()
-    except (OSError, ValueError, IndexError):
-        return None
-
-
-def peak_resident_bytes() -> int:
-    return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * 1024
-
-
-def descriptors_allowed(wanted: int) -> int:
-    """As many of those wanted as the system lets this process hold, its soft limit raised if need be."""
-    soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    if soft == resource.RLIM_INFINITY or wanted <= soft:
-        return wanted
-    most = wanted if hard == resource.RLIM_INFINITY else min(wanted, hard)
-    try:
-        resource.setrlimit(resource.RLIMIT_NOFILE, (most, hard))
-    except (OSError, ValueError):
-        return soft
-    return most
-
-
-def descriptors() -> int | None:
-    """Those that the process holds; None where it cannot look, as when it has none left to look with."""
-    try:
-        return len(os.listdir("/proc/self/fd")) - 1  # one of them is for the look itself
-    except OSError:
-        return None
+        """The CPU time of the whole process since its start, in seconds, exactly."""
+        return self.process_clock_ns() / NS_PER_S
+
+    def idle_cpu_s(self) -> float:
+        """The CPU time of the intervals without a request, in seconds."""
+        return self.idle_cpu_ns / NS_PER_S
+
+    def end_interval(self, is_idle: bool) -> tuple[float, float]:
+        """Begin an interval; return the time and the CPU time of the one that ends, in seconds.
+
+        The times of idle intervals are also added up apart.
+        """
+        cpu_ns = self.process_clock_ns()
+        now_s = self.clock_s()
+        interval_cpu_ns = cpu_ns - self.interval_start_cpu_ns
+        interval_s = now_s - self.interval_start_s
+        self.interval_start_cpu_ns = cpu_ns
+        self.interval_start_s = now_s
+        if is_idle:
+            self.idle_cpu_ns += interval_cpu_ns
+            self.idle_s += interval_s
+        return interval_s, interval_cpu_ns / NS_PER_S
--- a/orchidhatch/proxy/endpoint_watch.py
+++ b/orchidhatch/proxy/endpoint_watch.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from orchidhatch.proxy.config import Address
-from orchidhatch.proxy.cpu_accounting import Account
+from orchidhatch.proxy.cpu_accounting import CpuAccounting as Account
 from orchidhatch.proxy.endpoint_list_reader import EndpointListReader, EndpointUpdate
 from orchidhatch.proxy.local_errors import is_local
 from orchidhatch.proxy.watch_backoff import (
--- a/orchidhatch/proxy/event_dispatcher.py
+++ b/orchidhatch/proxy/event_dispatcher.py
@@ -15,7 +15,7 @@
 from orchidhatch.gateway.events import Event, TimerExpired
 from orchidhatch.gateway.snapshots import GatewaySnapshot
 from orchidhatch.proxy.clock import now_us
-from orchidhatch.proxy.cpu_accounting import Account, Place
+from orchidhatch.proxy.cpu_accounting import CostCategory, CpuAccounting
 
 log = logging.getLogger(__name__)
 
@@ -23,13 +23,13 @@
 FAILED_TIMER_RETRY_US = 20_000
 MIN_TIMER_WAIT_US = 1000
 
-ActionHandlers = Mapping[type, tuple[Place, Callable[..., None]]]
+ActionHandlers = Mapping[type, tuple[CostCategory, Callable[..., None]]]
 
 
 class EventDispatcher:
     """The only caller of the decision core: a queue of events in, a table of action handlers out."""
 
-    def __init__(self, core: GatewayCore, account: Account) -> None:
+    def __init__(self, core: GatewayCore, account: CpuAccounting) -> None:
         self.core = core
         self.account = account
         self.loop = asyncio.get_running_loop()
@@ -51,7 +51,7 @@
 
     def run_batch(self) -> None:
         """Hand everything that has come in to the core now."""
-        previous = self.account.enter(Place.MODULE)
+        previous = self.account.enter(CostCategory.DECISION_CORE)
         try:
             self._handle_all()
         finally:
@@ -78,8 +78,8 @@
             self.set_timer(SetTimer(FAILED_TIMER_RETRY_US, event.token))
 
     def _carry_out(self, action: Action) -> None:
-        place, handler = self.handlers[type(action)]
-        previous = self.account.enter(place)
+        category, handler = self.handlers[type(action)]
+        previous = self.account.enter(category)
         try:
             handler(action)
         except Exception:
@@ -111,6 +111,8 @@
         left_us = due_us - now_us()
         if left_us > 0:
             wait_s = max(MIN_TIMER_WAIT_US, left_us) / 1e6
-            self.loop.call_later(wait_s, self.account.run, Place.MODULE, self._fire_or_wait, due_us, token)
+            self.loop.call_later(
+                wait_s, self.account.run, CostCategory.DECISION_CORE, self._fire_or_wait, due_us, token
+            )
         else:
             self.post(TimerExpired(token))
--- a/orchidhatch/proxy/guards.py
+++ b/orchidhatch/proxy/guards.py
@@ -10,7 +10,7 @@
 from enum import StrEnum
 
 from orchidhatch.proxy.clock import now_us
-from orchidhatch.proxy.metrics import page
+from orchidhatch.proxy.metrics import metric_text
 
 log = logging.getLogger(__name__)
 
@@ -51,4 +51,6 @@
     def metrics_text(self) -> str:
         """All reasons in Prometheus's text form, zeros too."""
         counts = {f'reason="{refusal.value}"': self.refusals[refusal] for refusal in Refusal}
-        return page("guard_refusals_total", "counter", "Effects that would have broken a rule.", counts)
+        return metric_text(
+            "guard_refusals_total", "counter", "Effects that would have broken a rule.", counts
+        )
--- a/orchidhatch/proxy/management.py
+++ b/orchidhatch/proxy/management.py
@@ -14,9 +14,11 @@
 
 import h11
 
-from orchidhatch.proxy.cpu_accounting import Account, Place
+from orchidhatch.proxy.cpu_accounting import CostCategory as Place
+from orchidhatch.proxy.cpu_accounting import CpuAccounting as Account
 from orchidhatch.proxy.listening import closed_on_error, stream_socket
-from orchidhatch.proxy.wait_queues import Line, Waits
+from orchidhatch.proxy.wait_queues import QueueStatus as Line
+from orchidhatch.proxy.wait_queues import WaitHistogram as Waits
 
 log = logging.getLogger(__name__)
 
--- a/orchidhatch/proxy/management_handlers.py
+++ b/orchidhatch/proxy/management_handlers.py
@@ -10,7 +10,7 @@
 from orchidhatch.proxy.management import Answer
 from orchidhatch.proxy.metrics_page import MetricsPage
 from orchidhatch.proxy.operator_drain import OperatorDrain
-from orchidhatch.proxy.policy_guard import Watchfulness
+from orchidhatch.proxy.policy_guard import PolicyGuard
 from orchidhatch.proxy.process_lifecycle import ProcessLifecycle, ProcessState
 
 log = logging.getLogger(__name__)
@@ -23,7 +23,7 @@
         self,
         process: ProcessLifecycle,
         operator_drain: OperatorDrain,
-        policy_guard: Watchfulness,
+        policy_guard: PolicyGuard,
         dispatcher: EventDispatcher,
         backends: Backends,
         metrics_page: MetricsPage,
@@ -50,7 +50,7 @@
     def health(self) -> Answer:
         """Whether new clients are admitted, and the policy that they are admitted by."""
         status, text = (200, "serves") if self.operator_drain.is_serving() else (503, "takes no new clients")
-        return status, text + self.policy_guard.shown()
+        return status, text + self.policy_guard.description()
 
     def stats(self) -> Answer:
         """The counts of requests by class and ending."""
@@ -86,8 +86,8 @@
         """Undo a drain and admit clients, if the policy still holds."""
         if self.process.state is ProcessState.ENDING:
             return 409, "the program is ending"
-        if not self.policy_guard.lift():
+        if not self.policy_guard.resume():
             now_s = asyncio.get_running_loop().time()
-            return 409, self.policy_guard.lacks(now_s) or "its policy may hold no more"
+            return 409, self.policy_guard.invalid_reason(now_s) or "its policy may hold no more"
         self.operator_drain.undo()
         return 200, "takes clients"
--- a/orchidhatch/proxy/metrics_page.py
+++ b/orchidhatch/proxy/metrics_page.py
@@ -6,20 +6,15 @@
 from orchidhatch.gateway.events import MetricsRequest
 from orchidhatch.proxy.backends import Backends
 from orchidhatch.proxy.clients import Clients
-from orchidhatch.proxy.cpu_accounting import (
-    PLACES,
-    Account,
-    descriptors,
-    peak_resident_bytes,
-    resident_bytes,
-)
+from orchidhatch.proxy.cpu_accounting import CHARGED_CATEGORIES, CpuAccounting
 from orchidhatch.proxy.event_dispatcher import EventDispatcher
 from orchidhatch.proxy.guards import Guard
 from orchidhatch.proxy.management import Management
-from orchidhatch.proxy.metrics import Figures, page
+from orchidhatch.proxy.metrics import RequestMetrics, metric_text
 from orchidhatch.proxy.peers import Peers
+from orchidhatch.proxy.process_resources import open_descriptors, peak_resident_bytes, resident_bytes
 from orchidhatch.proxy.request_lifecycle import RequestLifecycle
-from orchidhatch.proxy.wait_queues import figures as queue_metrics
+from orchidhatch.proxy.wait_queues import queue_metrics_text
 from orchidhatch.proxy.work_queues import WorkQueues
 
 
@@ -28,14 +23,14 @@
 
     def __init__(
         self,
-        figures: Figures,
+        figures: RequestMetrics,
         dispatcher: EventDispatcher,
         requests: RequestLifecycle,
         clients: Clients,
         backends: Backends,
         peers: Peers,
         management: Management,
-        account: Account,
+        account: CpuAccounting,
         queues: WorkQueues,
         max_descriptors: int,
         guard: Guard,
@@ -60,18 +55,18 @@
 
     def stats(self) -> str:
         """The counts of requests, and the size of the fleet."""
-        census = self.dispatcher.ask(MetricsRequest())
+        snapshot = self.dispatcher.ask(MetricsRequest())
         return self.figures.text(
             sends_total=self.backends.sends,
             current=len(self.requests.open),
-            cluster_size=census.listed,
-            cluster_unhealthy=census.ejected,
+            cluster_size=snapshot.listed,
+            cluster_unhealthy=snapshot.ejected,
         )
 
     def metrics(self) -> str:
         """The counts of /stats, what the process costs, and what waits in it."""
-        parts = (self._cpu(), self._memory(), self._descriptors(), self._waits(), self._ends())
-        return self.stats() + "".join(parts) + self.guard.metrics_text()
+        sections = (self._cpu(), self._memory(), self._descriptors(), self._waits(), self._ends())
+        return self.stats() + "".join(sections) + self.guard.metrics_text()
 
     def _ends(self) -> str:
         closes = {
@@ -82,38 +77,44 @@
         local = {f'error="{name}"': count for name, count in sorted(self.backends.local_failures.items())}
         return "".join(
             [
-                page("client_closes_total", "counter", "Client connections closed here, by reason.", closes),
-                page("attempts_total", "counter", "Attempts that ended, by result.", results),
-                page("retries_total", "counter", "Further attempts, by the result before them.", retries),
-                page("local_failures_total", "counter", "Dials that failed on this machine.", local),
+                metric_text(
+                    "client_closes_total", "counter", "Client connections closed here, by reason.", closes
+                ),
+                metric_text("attempts_total", "counter", "Attempts that ended, by result.", results),
+                metric_text(
+                    "retries_total", "counter", "Further attempts, by the result before them.", retries
+                ),
+                metric_text("local_failures_total", "counter", "Dials that failed on this machine.", local),
             ]
         )
 
     def _cpu(self) -> str:
         account = self.account
-        by_place = {f'place="{place.name.lower()}"': account.seconds(place) for place in PLACES}
+        by_category = {
+            f'place="{category.label}"': account.estimated_s(category) for category in CHARGED_CATEGORIES
+        }
         return "".join(
             [
-                page(
+                metric_text(
                     "cpu_seconds_total", "counter", "Processor time of the process.", {"": account.total_s()}
                 ),
-                page(
+                metric_text(
                     "place_cpu_seconds_total",
                     "counter",
                     "Of it, by place, estimated; the rest is the loop's.",
-                    by_place,
+                    by_category,
                 ),
-                page(
+                metric_text(
                     "idle_seconds_total",
                     "counter",
                     "Time in intervals in which no request was open.",
                     {"": account.idle_s},
                 ),
-                page(
+                metric_text(
                     "idle_cpu_seconds_total",
                     "counter",
                     "Processor time in those intervals.",
-                    {"": account.idle_ns / 1e9},
+                    {"": account.idle_cpu_s()},
                 ),
             ]
         )
@@ -124,15 +125,15 @@
         peak = {"": peak_resident_bytes()}
         return "".join(
             [
-                page("resident_bytes", "gauge", "Memory held now.", resident_values),
-                page("peak_resident_bytes", "gauge", "The most memory held so far.", peak),
-                page(
+                metric_text("resident_bytes", "gauge", "Memory held now.", resident_values),
+                metric_text("peak_resident_bytes", "gauge", "The most memory held so far.", peak),
+                metric_text(
                     "held_bytes",
                     "gauge",
                     "Commands that are not answered.",
-                    {"": self.requests.held_bytes},
+                    {"": self.requests.open_command_bytes},
                 ),
-                page(
+                metric_text(
                     "unsent_bytes",
                     "gauge",
                     "What waits for slow clients.",
@@ -147,15 +148,15 @@
             "backends": self.backends.held,
             "management": len(self.management.connections),
         }
-        held = descriptors()
-        if held is not None:
-            holders["other"] = max(0, held - sum(holders.values()))
+        open_count = open_descriptors()
+        if open_count is not None:
+            holders["other"] = max(0, open_count - sum(holders.values()))
         by_holder = {f'holder="{name}"': count for name, count in holders.items()}
         return "".join(
             [
-                page("descriptors", "gauge", "Descriptors held, by holder.", by_holder),
-                page("descriptors_limit", "gauge", "Descriptors allowed.", {"": self.max_descriptors}),
-                page(
+                metric_text("descriptors", "gauge", "Descriptors held, by holder.", by_holder),
+                metric_text("descriptors_limit", "gauge", "Descriptors allowed.", {"": self.max_descriptors}),
+                metric_text(
                     "out_of_descriptors_total",
                     "counter",
                     "Connections to backends without a descriptor left.",
@@ -165,25 +166,27 @@
         )
 
     def _waits(self) -> str:
-        census = self.dispatcher.ask(MetricsRequest())
-        queued_s = {f'reason="{why}"': us / 1e6 for why, us in sorted(self.queued_us.items())}
-        unserved = {f'reason="{why}"': count for why, count in census.ended}
+        snapshot = self.dispatcher.ask(MetricsRequest())
+        queued_s = {f'reason="{reason}"': us / 1e6 for reason, us in sorted(self.queued_us.items())}
+        unserved = {f'reason="{reason}"': count for reason, count in snapshot.ended}
         malformed = {
             'what="command"': self.clients.metrics.malformed_commands,
             'what="stream"': self.clients.metrics.malformed_streams,
         }
         dropped = {'why="malformed"': self.peers.malformed, 'why="stranger"': self.peers.strange}
-        return queue_metrics(self.queues.lines(census)) + "".join(
+        return queue_metrics_text(self.queues.statuses(snapshot)) + "".join(
             [
-                page(
+                metric_text(
                     "held_seconds_total",
                     "counter",
                     "Time that requests waited unsent, by what for.",
                     queued_s,
                 ),
-                page("unserved_total", "counter", "Requests ended unserved, by what they lacked.", unserved),
-                page("malformed_total", "counter", "What clients sent that is no request.", malformed),
-                page(
+                metric_text(
+                    "unserved_total", "counter", "Requests ended unserved, by what they lacked.", unserved
+                ),
+                metric_text("malformed_total", "counter", "What clients sent that is no request.", malformed),
+                metric_text(
                     "datagrams_dropped_total",
                     "counter",
                     "Datagrams from peers that were not taken.",
--- a/orchidhatch/proxy/operator_drain.py
+++ b/orchidhatch/proxy/operator_drain.py
@@ -8,12 +8,12 @@
 from orchidhatch.gateway.events import Event, SuspendAdmission
 from orchidhatch.proxy.clients import Clients
 from orchidhatch.proxy.clock import now_us
-from orchidhatch.proxy.policy_guard import Watchfulness
+from orchidhatch.proxy.policy_guard import PolicyGuard
 from orchidhatch.proxy.process_lifecycle import ProcessLifecycle, ProcessState
 
 log = logging.getLogger(__name__)
 
-# How long a drain waits at most for the load balancer in front to poll and hear the first negative answer.
+# How long a drain waits at most for the load balancer in front to poll and get the first negative answer.
 FRONT_POLL_S = 1.0
 # After that answer new connections go on coming for 0.2 s.
 LATE_CONNECTIONS_S = 0.4
@@ -28,18 +28,18 @@
         self.process = process
         self.clients = clients
         self.post = post
-        self.policy_guard: Watchfulness
+        self.policy_guard: PolicyGuard
         self.task: asyncio.Task[None] | None = None
         """The drain under way or finished, until it is undone."""
 
-    def connect(self, policy_guard: Watchfulness) -> None:
+    def connect(self, policy_guard: PolicyGuard) -> None:
         """Set the policy guard, which is itself created with `suspend_admission`."""
         self.policy_guard = policy_guard
 
     def is_serving(self) -> bool:
         """Whether new clients are admitted."""
         is_up = self.process.state is ProcessState.SERVING
-        return is_up and self.task is None and not self.policy_guard.barred
+        return is_up and self.task is None and not self.policy_guard.is_suspended
 
     def suspend_admission(self, is_suspended: bool) -> None:
         """Have the decision core reject every new request, or admit them again."""
@@ -55,7 +55,7 @@
             self.task = asyncio.get_running_loop().create_task(self._drain())
 
     async def _drain(self) -> None:
-        """Serve until the front has heard a no and sends nothing new, then let the kept connections go."""
+        """Serve until the load balancer has been answered no, then close the connections that were kept."""
         loop = asyncio.get_running_loop()
         called_s = loop.time()
         with contextlib.suppress(TimeoutError):
@@ -64,8 +64,8 @@
         self.clients.drain()
         await asyncio.sleep(called_s + LAST_READ_S - loop.time())
         self.clients.read_no_more()
-        if self.policy_guard.told:  # a late client would be admitted by a policy that may no longer hold
-            self.policy_guard.bar("it was emptied")
+        if self.policy_guard.policy:  # a late client would be admitted by a policy that may no longer hold
+            self.policy_guard.suspend("it was emptied")
 
     def undo(self) -> None:
         """Admit clients again."""
--- a/orchidhatch/proxy/peers.py
+++ b/orchidhatch/proxy/peers.py
@@ -7,8 +7,9 @@
 from orchidhatch.gateway.events import PeerMessage
 from orchidhatch.gateway.gossip_codec import mark_of, pack_message, unpack_message
 from orchidhatch.proxy.config import Address
-from orchidhatch.proxy.cpu_accounting import Account, Place
-from orchidhatch.proxy.wait_queues import Waits
+from orchidhatch.proxy.cpu_accounting import CostCategory as Place
+from orchidhatch.proxy.cpu_accounting import CpuAccounting as Account
+from orchidhatch.proxy.wait_queues import WaitHistogram as Waits
 
 MAX_UNSENT_BYTES = 16 * 1024
 """Bytes that wait for the socket; past that datagrams are dropped, as they may be on the way."""
--- a/orchidhatch/proxy/periodic_log.py
+++ b/orchidhatch/proxy/periodic_log.py
@@ -8,15 +8,9 @@
 
 from orchidhatch.proxy.backends import Backends
 from orchidhatch.proxy.clients import Clients
-from orchidhatch.proxy.cpu_accounting import (
-    PLACES,
-    Account,
-    Place,
-    descriptors,
-    peak_resident_bytes,
-    resident_bytes,
-)
+from orchidhatch.proxy.cpu_accounting import CHARGED_CATEGORIES, CostCategory, CpuAccounting
 from orchidhatch.proxy.event_dispatcher import EventDispatcher
+from orchidhatch.proxy.process_resources import open_descriptors, peak_resident_bytes, resident_bytes
 from orchidhatch.proxy.request_lifecycle import RequestLifecycle
 
 log = logging.getLogger(__name__)
@@ -35,7 +29,7 @@
         dispatcher: EventDispatcher,
         clients: Clients,
         backends: Backends,
-        account: Account,
+        account: CpuAccounting,
         max_descriptors: int,
     ) -> None:
         self.requests = requests
@@ -44,13 +38,13 @@
         self.backends = backends
         self.account = account
         self.max_descriptors = max_descriptors
-        self.logged_cpu_s: dict[Place, float] = {}
+        self.logged_cpu_s: dict[CostCategory, float] = {}
         self.timer: asyncio.TimerHandle | None = None
 
     def schedule(self) -> None:
         """Write the next lines after LOG_INTERVAL_S."""
         loop = asyncio.get_running_loop()
-        self.timer = loop.call_later(LOG_INTERVAL_S, self.account.run, Place.LOG, self.write)
+        self.timer = loop.call_later(LOG_INTERVAL_S, self.account.run, CostCategory.LOG, self.write)
 
     def close(self) -> None:
         """Write no more lines."""
@@ -97,24 +91,29 @@
         log.info("shares: to %s; spent %s", by_backend or "-", spent or "-")
 
     def _write_cost(self) -> None:
-        """Write the interval's CPU time, exact for the process, estimated by place, and memory."""
-        asked = self.requests.tally["asked"]
-        took_s, cpu_s = self.account.interval(idle=not asked and not self.requests.open)
-        by_place = {place: self.account.seconds(place) for place in PLACES}
-        parts = " ".join(
-            f"{place.name.lower()} {(by_place[place] - self.logged_cpu_s.get(place, 0)) * 1e3:.1f}"
-            for place in PLACES
-        )
-        self.logged_cpu_s = by_place
-        each = f", {cpu_s * 1e6 / asked:.0f} us a request" if asked else ""
+        """Write the interval's CPU time, exact for the process, estimated by category, and memory."""
+        request_count = self.requests.tally["asked"]
+        is_idle = not request_count and not self.requests.open
+        interval_s, cpu_s = self.account.end_interval(is_idle)
+        cost_by_request = f", {cpu_s * 1e6 / request_count:.0f} us a request" if request_count else ""
         log.info(
             "cost: cpu %.1f ms in %.1f s%s; of it %s; resident %d KB, peak %d KB, descriptors %d of %d",
             cpu_s * 1e3,
-            took_s,
-            each,
-            parts,
+            interval_s,
+            cost_by_request,
+            self._cost_by_category(),
             (resident_bytes() or 0) >> 10,
             peak_resident_bytes() >> 10,
-            descriptors() or 0,
+            open_descriptors() or 0,
             self.max_descriptors,
         )
+
+    def _cost_by_category(self) -> str:
+        """The CPU time of each category since the last call, in ms."""
+        costs = []
+        for category in CHARGED_CATEGORIES:
+            total_s = self.account.estimated_s(category)
+            interval_s = total_s - self.logged_cpu_s.get(category, 0)
+            self.logged_cpu_s[category] = total_s
+            costs.append(f"{category.label} {interval_s * 1e3:.1f}")
+        return " ".join(costs)
--- a/orchidhatch/proxy/policy_guard.py
+++ b/orchidhatch/proxy/policy_guard.py
@@ -1,9 +1,9 @@
-"""Whether a front door that is under a policy may let clients in: only while somebody sees to it that the
-policy that it goes by is the one that holds.
+"""Suspends admission while the gateway cannot know that the policy it goes by still holds.
 
-It starts barred, and bars itself when it stood still or discovery was silent, since whoever keeps it may then
-have been cut off, and another policy may hold by now; and when the time is over for which its own holds,
-should nobody have put it under the next. The call `healthcheck/ok` ends that.
+A gateway under a policy starts with admission suspended. It suspends admission itself after its event loop
+stalled or its agent was silent, as its policy lease may have been lost meanwhile and another policy may hold
+by now; and when its own policy's time ends before its agent has put it under the next one. The management
+call `healthcheck/ok`, by which the agent confirms the policy, resumes admission.
 """
 
 import asyncio
@@ -15,71 +15,94 @@
 
 log = logging.getLogger(__name__)
 
-TICK_S = 0.2
-LAPSE_S = 1.0  # that it may have stood still for: longer than a full core keeps a turn of the loop waiting
+CHECK_INTERVAL_S = 0.2
+# Longer than a full core keeps a turn of the event loop waiting.
+MAX_STALL_S = 1.0
 
 
-class Watchfulness:
-    """`told` is the policy that it was put under, None for a front door that is under none."""
+class PolicyGuard:
+    """Owner of whether admission is suspended over the policy.
+
+    `policy` is the policy that the gateway was put under, None for a gateway that is under none.
+    `last_contact_s` returns when the agent was last in contact, `set_suspended` is called with each change.
+    Times are of the monotonic clock, in seconds.
+    """
 
     def __init__(
         self,
-        told: Policy | None,
-        heard_s: Callable[[], float],
-        barred: Callable[[bool], None],
+        policy: Policy | None,
+        last_contact_s: Callable[[], float],
+        set_suspended: Callable[[bool], None],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        self.told, self.heard_s, self.tell, self.clock = told, heard_s, barred, clock
-        self.barred = False
-        self.ticked_s = clock()
-        self.ticking = False
-
-    def begin(self, barred: bool) -> None:
-        """From the start on, or from when it was put under a policy while it served."""
-        if self.told and not self.ticking:
-            self.ticking, self.ticked_s = True, self.clock()
-            self.tick()
-            if barred:
-                self.bar("it has just started")
-
-    def tick(self) -> None:
-        self.look()
-        asyncio.get_running_loop().call_later(TICK_S, self.tick)
-
-    def look(self) -> None:
-        """To be asked before a client is let in, too: after a stop that comes before any timer."""
-        if not self.told:
+        self.policy = policy
+        self.last_contact_s = last_contact_s
+        self.set_suspended = set_suspended
+        self.clock = clock
+        self.is_suspended = False
+        self.is_running = False
+        self.last_check_s = clock()
+
+    def begin(self, is_suspended: bool) -> None:
+        """Begin to check, at the start or when the gateway is put under its first policy."""
+        if self.policy is None or self.is_running:
+            return
+        self.is_running = True
+        self.last_check_s = self.clock()
+        self._check_periodically()
+        if is_suspended:
+            self.suspend("it has just started")
+
+    def _check_periodically(self) -> None:
+        self.check()
+        asyncio.get_running_loop().call_later(CHECK_INTERVAL_S, self._check_periodically)
+
+    def check(self) -> None:
+        """Suspend admission if the policy may not hold any more.
+
+        Called before each admission too, as after a stall a request may go ahead of the timer.
+        """
+        if self.policy is None:
             return
         now_s = self.clock()
-        stood_s, self.ticked_s = now_s - self.ticked_s, now_s
-        if stood_s > LAPSE_S:
-            self.bar(f"it stood still for {stood_s:.1f} s")
-        elif why := self.lacks(now_s):
-            self.bar(why)
-
-    def lacks(self, now_s: float) -> str:
-        """Why its policy may hold no more by now, if so."""
-        if self.told and 0 < self.told.until_us <= now_s * 1e6:
+        stall_s = now_s - self.last_check_s
+        self.last_check_s = now_s
+        if stall_s > MAX_STALL_S:
+            self.suspend(f"it stood still for {stall_s:.1f} s")
+            return
+        reason = self.invalid_reason(now_s)
+        if reason:
+            self.suspend(reason)
+
+    def invalid_reason(self, now_s: float) -> str:
+        """Why the policy may not hold any more at `now_s`, "" if it holds."""
+        policy = self.policy
+        if policy is None:
+            return ""
+        if 0 < policy.until_us <= now_s * 1e6:
             return "another policy holds from now on"
-        if self.told and now_s - self.heard_s() > self.told.silent_s:
+        if now_s - self.last_contact_s() > policy.silent_s:
             return "discovery is silent"
         return ""
 
-    def bar(self, why: str) -> None:
-        if not self.barred:
-            log.warning("lets nobody in: %s", why)
-            self.barred = True
-            self.tell(True)
+    def suspend(self, reason: str) -> None:
+        """Suspend admission, unless it is suspended."""
+        if self.is_suspended:
+            return
+        log.warning("admission suspended: reason=%s", reason)
+        self.is_suspended = True
+        self.set_suspended(True)
 
-    def lift(self) -> bool:
-        """Whoever keeps it says that it goes by what holds; whether that can be."""
-        self.look()
-        if self.lacks(self.clock()):
+    def resume(self) -> bool:
+        """Resume admission, as the agent confirms the policy; False if the policy cannot hold."""
+        self.check()
+        if self.invalid_reason(self.clock()):
             return False
-        if self.barred:
-            self.barred = False
-            self.tell(False)
+        if self.is_suspended:
+            self.is_suspended = False
+            self.set_suspended(False)
         return True
 
-    def shown(self) -> str:
-        return f"; {self.told.shown()}" if self.told else ""
+    def description(self) -> str:
+        """The policy as a suffix for the answer of the health check."""
+        return f"; {self.policy.shown()}" if self.policy else ""
--- a/orchidhatch/proxy/process_limits.py
+++ b/orchidhatch/proxy/process_limits.py
@@ -5,7 +5,7 @@
 
 from orchidhatch.gateway.settings import Settings
 from orchidhatch.proxy.config import Config
-from orchidhatch.proxy.cpu_accounting import descriptors_allowed
+from orchidhatch.proxy.process_resources import allow_descriptors
 from orchidhatch.proxy.send_backlog import PROGRAM_MEMORY_MB
 
 log = logging.getLogger(__name__)
@@ -17,7 +17,7 @@
 
 def allowed_descriptors(config: Config) -> int:
     """How many descriptors this process may hold; logs an error if these are fewer than configured."""
-    allowed = descriptors_allowed(config.sockets)
+    allowed = allow_descriptors(config.sockets)
     if allowed < config.sockets:
         log.error(
             "the system allows this process %d descriptors, not the %d of limits.sockets",
--- a/orchidhatch/proxy/reload_signal.py
+++ b/orchidhatch/proxy/reload_signal.py
@@ -14,7 +14,7 @@
 
 RETRY_S = 0.1
 MAX_ATTEMPTS = 20
-"""With RETRY_S, well within the time after which what the new address tells counts as told."""
+"""With RETRY_S, well within the time after which the new address's endpoint list has to be known."""
 
 
 class ReloadSignal:
--- a/orchidhatch/proxy/request_lifecycle.py
+++ b/orchidhatch/proxy/request_lifecycle.py
@@ -26,11 +26,11 @@
 from orchidhatch.proxy.config import MOST_US
 from orchidhatch.proxy.guards import Guard, Refusal
 from orchidhatch.proxy.loop_watch import LoopWatch
-from orchidhatch.proxy.metrics import Ended, Figures
-from orchidhatch.proxy.policy_guard import Watchfulness
+from orchidhatch.proxy.metrics import RequestMetrics, RequestOutcome
+from orchidhatch.proxy.policy_guard import PolicyGuard
 from orchidhatch.proxy.reply import FAILED_ANSWER, Reply
 from orchidhatch.proxy.request_exchange import RequestExchange
-from orchidhatch.proxy.wait_queues import Waits
+from orchidhatch.proxy.wait_queues import WaitHistogram
 
 log = logging.getLogger(__name__)
 
@@ -48,7 +48,7 @@
     def __init__(
         self,
         active: ActiveConfiguration,
-        figures: Figures,
+        figures: RequestMetrics,
         post: Callable[[Event], None],
         guard: Guard | None = None,
         loop_watch: LoopWatch | None = None,
@@ -63,10 +63,10 @@
         """Requests that are owed an answer."""
         self.ended: dict[str, RequestExchange] = {}
         """Requests that were answered and have attempts still out."""
-        self.held_bytes = 0
+        self.open_command_bytes = 0
         self.buffered_bytes = 0
-        """Of long values that are kept until they are whole."""
-        self.held_waits = Waits()
+        """Of long values that are kept until they are complete."""
+        self.queue_waits = WaitHistogram()
         self.tally: Counter[str] = Counter()
         """Requests, and how attempts ended, since the last log line."""
         self.results: Counter[str] = Counter()
@@ -81,9 +81,9 @@
         """Until when this process is sure to live, once it is ending."""
         self.clients: Clients
         self.backends: Backends
-        self.policy_guard: Watchfulness
+        self.policy_guard: PolicyGuard
 
-    def connect(self, clients: Clients, backends: Backends, policy_guard: Watchfulness) -> None:
+    def connect(self, clients: Clients, backends: Backends, policy_guard: PolicyGuard) -> None:
         """Set the collaborators that are themselves created with this object's callbacks."""
         self.clients = clients
         self.backends = backends
@@ -94,12 +94,11 @@
     def take(self, arguments: list[bytes], reply: Reply) -> None:
         """Start a request from a client's command; raises CommandError if the command is wrong."""
         self.loop_watch.touch()
-        self.policy_guard.look()
-        most_us = MOST_US if self.last_answer_us is None else max(0, self.last_answer_us - now_us())
-        command = self.active.parser.parse(arguments, ANSWER_MARGIN_US, most_us)
+        self.policy_guard.check()
+        command = self.active.parser.parse(arguments, ANSWER_MARGIN_US, self._max_time_left_us())
         request = command.request
         if request.id in self.open or request.id in self.ended:
-            self.figures.note(self.active.class_names[request.class_index], Ended.ERRORED)
+            self.figures.note(self.active.class_names[request.class_index], RequestOutcome.ERRORED)
             raise CommandError("this id is in use")
         exchange = RequestExchange(
             command,
@@ -112,14 +111,20 @@
         exchange.timer = self.loop.call_later(delay_s, self.overdue, request.id)
         reply.request_id = request.id
         self.open[request.id] = exchange
-        self.held_bytes += request.size_bytes
+        self.open_command_bytes += request.size_bytes
         self.tally["asked"] += 1
         self.post(request)
 
+    def _max_time_left_us(self) -> int:
+        """How long a request may take that comes now: while this process is sure to live."""
+        if self.last_answer_us is None:
+            return MOST_US
+        return max(0, self.last_answer_us - now_us())
+
     def _traced_policy(self) -> str:
         """The digest of the policy that requests are admitted by, where that is to be logged, else ""."""
         config = self.active.config
-        if not config.traces_policy or not config.policy or self.policy_guard.barred:
+        if not config.traces_policy or not config.policy or self.policy_guard.is_suspended:
             return ""
         return config.policy.digest or "-"
 
@@ -144,7 +149,7 @@
     def fail_over_fault(self, request_id: str) -> None:
         """Fail a request over an internal fault, and have the core forget it."""
         if request_id in self.open:
-            self.answer(request_id, FAILED_ANSWER, Ended.ERRORED)
+            self.answer(request_id, FAILED_ANSWER, RequestOutcome.ERRORED)
             self.post(ClientGone(request_id))
 
     # --- attempts ---
@@ -160,7 +165,7 @@
         try:
             self._begin_attempt(action, exchange, number)
         except Exception:
-            exchange.out.pop(number, None)  # the core counts it as out until it is told of its end
+            exchange.out.pop(number, None)  # the core counts it as out until its end is reported
             self.post(AttemptEnded(action.id, False, number, action.server, AttemptResult.NOT_SENT, 0))
             raise
 
@@ -177,7 +182,7 @@
         timeout_us = min(left_us, action.timeout_us) if action.timeout_us > 0 else left_us
         self.sent[action.server] += 1
         if not number:
-            self.held_waits.note(now_us() - exchange.came_us)
+            self.queue_waits.note(now_us() - exchange.came_us)
             request = exchange.command.request
             self.spent[request.customer, exchange.plan, request.set_size] += request.units
         if exchange.last_result:
@@ -245,7 +250,7 @@
             self._end_stream(name, result is AttemptResult.OK)
         elif result is AttemptResult.OK and value is not None and name in self.open:
             value = bytes(self.open[name].buffer or value)
-            self.answer(name, b"$%d\r\n%b\r\n" % (len(value), value), Ended.ANSWERED)
+            self.answer(name, b"$%d\r\n%b\r\n" % (len(value), value), RequestOutcome.ANSWERED)
         is_over = name not in self.open
         exchange = self.ended.get(name) if is_over else self.open[name]
         if exchange:
@@ -273,8 +278,8 @@
         """Start to stream a long value to the client; from now on only a break or a stall ends it.
 
         Returns what takes its pieces, or None if the request has ended or streams another attempt's value.
-        Where answers to further commands are owed behind it, it is kept until it is whole: a break would end
-        the connection, and they would be lost.
+        Where answers to further commands are owed behind it, it is kept until it is complete: a break would
+        end the connection, and they would be lost.
         """
         exchange = self.open.get(attempt.request_id)
         if exchange is None or exchange.stream:
@@ -293,21 +298,22 @@
     def _buffer_value(
         self, exchange: RequestExchange, attempt: Attempt, size: int
     ) -> Callable[[bytes], None] | None:
-        """Keep a long value until it is whole, where there is room for it; what takes its pieces."""
+        """Keep a long value until it is complete, where there is room for it; what takes its pieces."""
         if self.buffered_bytes + size > self.clients.backlog.limit_bytes:
             log.warning("no room for the long value of request %s", attempt.request_id)
             return None
-        exchange.buffer = buffer = bytearray()
+        buffer = bytearray()
+        exchange.buffer = buffer
         exchange.buffer_size = size
         self.buffered_bytes += size
 
-        def take(piece: bytes) -> None:
+        def append_piece(piece: bytes) -> None:
             if attempt.request_id in self.open:
                 buffer.extend(piece)
             else:
                 attempt.cancel()
 
-        return take
+        return append_piece
 
     def _free_buffer(self, exchange: RequestExchange) -> None:
         self.buffered_bytes -= exchange.buffer_size
@@ -329,7 +335,7 @@
 
     def _end_stream(self, request_id: str, is_whole: bool) -> None:
         exchange = self.settle(request_id)
-        self._note(exchange, Ended.ANSWERED if is_whole else Ended.ERRORED)
+        self._note(exchange, RequestOutcome.ANSWERED if is_whole else RequestOutcome.ERRORED)
         if is_whole:
             exchange.reply.send(b"\r\n")
         else:
@@ -340,26 +346,28 @@
     def reject(self, action: Reject) -> None:
         """Answer that the gateway is busy, with the time after which to retry if there is one."""
         wait_ms = action.retry_after_us // 1000
-        self.answer(action.id, b"-BUSY %d\r\n" % wait_ms if wait_ms > 0 else b"-BUSY\r\n", Ended.DEFERRED)
+        line = b"-BUSY %d\r\n" % wait_ms if wait_ms > 0 else b"-BUSY\r\n"
+        self.answer(action.id, line, RequestOutcome.DEFERRED)
 
     def fail(self, action: Fail) -> None:
         """Answer that the request failed."""
-        self.answer(action.id, FAILED_ANSWER, Ended.ERRORED)
+        self.answer(action.id, FAILED_ANSWER, RequestOutcome.ERRORED)
 
-    def answer(self, request_id: str, data: bytes, how: Ended) -> None:
-        """Send the whole answer, unless the request has had one."""
-        if exchange := self.settle(request_id):
-            self._note(exchange, how)
+    def answer(self, request_id: str, data: bytes, outcome: RequestOutcome) -> None:
+        """Send the complete answer, unless the request has had one."""
+        exchange = self.settle(request_id)
+        if exchange:
+            self._note(exchange, outcome)
             exchange.reply.send(data)
 
-    def _note(self, exchange: RequestExchange, how: Ended) -> None:
+    def _note(self, exchange: RequestExchange, outcome: RequestOutcome) -> None:
         request = exchange.command.request
-        self.figures.note(self.active.class_names[request.class_index], how)
+        self.figures.note(self.active.class_names[request.class_index], outcome)
         if exchange.policy:
             log.info(
                 "request %s %s by policy %s, taken at %d us",
                 request.id,
-                how,
+                outcome,
                 exchange.policy,
                 exchange.came_us,
             )
@@ -369,11 +377,11 @@
         exchange = self.open.pop(request_id, None)
         if exchange is None:
             return None
-        self.held_bytes -= exchange.command.request.size_bytes
+        self.open_command_bytes -= exchange.command.request.size_bytes
         if exchange.buffer_size:
             self._free_buffer(exchange)
         if not exchange.attempts:
-            self.held_waits.note(now_us() - exchange.came_us)
+            self.queue_waits.note(now_us() - exchange.came_us)
         if exchange.timer:
             exchange.timer.cancel()
         if exchange.out:
--- a/orchidhatch/proxy/server.py
+++ b/orchidhatch/proxy/server.py
@@ -33,7 +33,7 @@
 from orchidhatch.proxy.clients import Clients
 from orchidhatch.proxy.config import LEAST_SOCKETS, SPARE_SOCKETS, Address, Config
 from orchidhatch.proxy.configuration_reload import ConfigurationReloader
-from orchidhatch.proxy.cpu_accounting import Account, Place
+from orchidhatch.proxy.cpu_accounting import CostCategory, CpuAccounting
 from orchidhatch.proxy.endpoint_list_reader import EndpointListReader, EndpointUpdate
 from orchidhatch.proxy.endpoint_watch import EndpointWatcher
 from orchidhatch.proxy.event_dispatcher import ActionHandlers, EventDispatcher
@@ -44,12 +44,12 @@
 from orchidhatch.proxy.loop_watch import LoopWatch
 from orchidhatch.proxy.management import Calls, Management
 from orchidhatch.proxy.management_handlers import ManagementHandlers
-from orchidhatch.proxy.metrics import Figures
+from orchidhatch.proxy.metrics import RequestMetrics
 from orchidhatch.proxy.metrics_page import MetricsPage
 from orchidhatch.proxy.operator_drain import OperatorDrain
 from orchidhatch.proxy.peers import Peers
 from orchidhatch.proxy.periodic_log import PeriodicLog
-from orchidhatch.proxy.policy_guard import Watchfulness
+from orchidhatch.proxy.policy_guard import PolicyGuard
 from orchidhatch.proxy.process_handover import ProcessHandover
 from orchidhatch.proxy.process_lifecycle import ProcessLifecycle, ProcessState
 from orchidhatch.proxy.process_limits import allowed_descriptors, limited_settings
@@ -78,11 +78,11 @@
         self.loop = asyncio.get_running_loop()
         self.server: asyncio.Server | None = None
         self.active = ActiveConfiguration(config)
-        self.account = Account(config.settings.seed)
+        self.account = CpuAccounting(config.settings.seed)
         self.max_descriptors = allowed_descriptors(config)
         self.core = GatewayCore(limited_settings(config))
         self.dispatcher = EventDispatcher(self.core, self.account)
-        self.figures = Figures(config.class_numbers)
+        self.figures = RequestMetrics(config.class_numbers)
         self.guard = Guard()
         self.loop_watch = LoopWatch()
         self.requests = RequestLifecycle(
@@ -132,7 +132,7 @@
     def _create_process(self, config: Config) -> None:
         self.process = ProcessLifecycle(self.active, self.clients, self.requests)
         self.operator_drain = OperatorDrain(self.process, self.clients, self.dispatcher.post)
-        self.policy_guard = Watchfulness(
+        self.policy_guard = PolicyGuard(
             config.policy, self.discovery.last_sign_of_life_s, self.operator_drain.suspend_admission
         )
         self.handover = ProcessHandover(
@@ -193,23 +193,26 @@
     def action_handlers(self) -> ActionHandlers:
         """What carries out each type of action of the decision core, and where its CPU time is counted."""
         requests = self.requests
-        send_to_handover_peer = (Place.PEERS, self.handover.send_to_handover_peer)
+        send_to_handover_peer = (CostCategory.PEERS, self.handover.send_to_handover_peer)
         return {
-            SendAttempt: (Place.BACKENDS, requests.send),
-            CancelAttempt: (Place.BACKENDS, requests.cancel),
-            Reject: (Place.CLIENTS, requests.reject),
-            Fail: (Place.CLIENTS, requests.fail),
-            SetTimer: (Place.MODULE, self.dispatcher.set_timer),
-            SendGossip: (Place.PEERS, self.peers.send),
-            LogLine: (Place.LOG, log_core_line),
-            WaitTimes: (Place.MODULE, self.metrics_page.add_queued_time),
-            CloseIdleConnections: (Place.BACKENDS, lambda action: self.backends.close_idle(action.server)),
+            SendAttempt: (CostCategory.BACKENDS, requests.send),
+            CancelAttempt: (CostCategory.BACKENDS, requests.cancel),
+            Reject: (CostCategory.CLIENTS, requests.reject),
+            Fail: (CostCategory.CLIENTS, requests.fail),
+            SetTimer: (CostCategory.DECISION_CORE, self.dispatcher.set_timer),
+            SendGossip: (CostCategory.PEERS, self.peers.send),
+            LogLine: (CostCategory.LOG, log_core_line),
+            WaitTimes: (CostCategory.DECISION_CORE, self.metrics_page.add_queued_time),
+            CloseIdleConnections: (
+                CostCategory.BACKENDS,
+                lambda action: self.backends.close_idle(action.server),
+            ),
             HandoverSpend: send_to_handover_peer,
             HandoverAttempt: send_to_handover_peer,
             HandoverAttemptEnd: send_to_handover_peer,
             HandoverEjection: send_to_handover_peer,
-            Subscribe: (Place.DISCOVERY, ignore_action),
-            FetchEndpointList: (Place.DISCOVERY, ignore_action),
+            Subscribe: (CostCategory.DISCOVERY, ignore_action),
+            FetchEndpointList: (CostCategory.DISCOVERY, ignore_action),
         }
 
     # --- the endpoint list ---
@@ -238,14 +241,14 @@
     async def start(self) -> None:
         """Serve; returns once clients are answered. Raises OSError for an address that cannot be had."""
         config = self.active.config
-        self.policy_guard.begin(barred=True)
+        self.policy_guard.begin(is_suspended=True)
         if config.management:
             host, port = config.management
             await open_at_start(lambda: self.management.start(host, port))
         self.periodic_log.schedule()
         if not self.handover.peer:
             await open_at_start(self._open_peers)
-        self.backends.spawn(self.discovery.run(), Place.DISCOVERY)
+        self.backends.spawn(self.discovery.run(), CostCategory.DISCOVERY)
         await self._wait_for_endpoints()
         if self.handover.peer:
             await self._serve_inherited(config.socket_fd)
@@ -256,9 +259,10 @@
     async def _wait_for_endpoints(self) -> None:
         """Wait a short time for a list that is newer than the known one, or for any if none is known."""
         is_known = bool(self.catalog.entries)
-        heard = self.discovery.has_accepted_watch if is_known else self.discovery.has_update
+        received = self.discovery.has_accepted_watch if is_known else self.discovery.has_update
+        timeout_s = NEWER_LIST_S if is_known else FIRST_LIST_S
         try:
-            await asyncio.wait_for(heard.wait(), NEWER_LIST_S if is_known else FIRST_LIST_S)
+            await asyncio.wait_for(received.wait(), timeout_s)
         except TimeoutError:
             log.warning("discovery is silent; starting with the known list")
 
@@ -314,13 +318,13 @@
     """Open a socket that the start needs, again where the system fails for a moment. Raises OSError."""
     last_errors: list[OSError] = []
 
-    def failed(error: OSError) -> None:
+    def note_failure(error: OSError) -> None:
         last_errors[:] = [error]
         log.warning("cannot open a socket yet error=%s: %s", error_name(error), error)
 
     try:
         async with asyncio.timeout(OPEN_WITHIN_S):
-            return await retry_local(open_socket, asyncio.sleep, failed)
+            return await retry_local(open_socket, asyncio.sleep, note_failure)
     except TimeoutError:
         raise (last_errors or [OSError("no socket in time")])[0] from None
 
--- a/orchidhatch/proxy/socket_inspection.py
+++ b/orchidhatch/proxy/socket_inspection.py
@@ -1,4 +1,7 @@
-"""Looks at a connection's socket past what the loop has read of it: for what must not wait for its turn."""
+"""What the kernel holds of a connection beyond what the event loop has read of it.
+
+For decisions that must not wait for the event loop's next turn.
+"""
 
 import asyncio
 import contextlib
@@ -6,35 +9,39 @@
 import select
 import termios
 
-NO_BYTES = bytes(4)  # the integer that FIONREAD gives where nothing is unread
+# The integer that FIONREAD gives where nothing is unread.
+NO_BYTES = bytes(4)
 
 
-def fileno(transport: asyncio.BaseTransport) -> int:
+def descriptor_of(transport: asyncio.BaseTransport) -> int:
+    """The descriptor of the transport's socket."""
     return transport.get_extra_info("socket").fileno()
 
 
 def unread(transport: asyncio.BaseTransport) -> bool:
-    """Whether bytes have come that were not read yet."""
+    """Whether bytes have come that were not read yet; False for a closed socket."""
     try:
-        found = fcntl.ioctl(fileno(transport), termios.FIONREAD, NO_BYTES)
+        unread_count = fcntl.ioctl(descriptor_of(transport), termios.FIONREAD, NO_BYTES)
     except OSError:
         return False
-    return found != NO_BYTES
-
-
-def poll(transport: asyncio.BaseTransport, events: int) -> int:
-    look = select.poll()
-    with contextlib.suppress(OSError, ValueError):  # a descriptor that is closed already
-        look.register(fileno(transport), events)
-        return next((found for _, found in look.poll(0)), 0)
-    return select.POLLNVAL
+    return unread_count != NO_BYTES
 
 
 def spoken(transport: asyncio.BaseTransport) -> bool:
-    """Whether the other side has said anything, if only its end, that was not read yet."""
-    return poll(transport, select.POLLIN) != 0
+    """Whether the other side has sent anything, if only its end, that was not read yet."""
+    return poll_events(transport, select.POLLIN) != 0
 
 
 def left(transport: asyncio.BaseTransport) -> bool:
     """Whether the other side has closed, behind whatever of it is unread."""
-    return poll(transport, select.POLLRDHUP) != 0
+    return poll_events(transport, select.POLLRDHUP) != 0
+
+
+def poll_events(transport: asyncio.BaseTransport, events: int) -> int:
+    """Those of the events, and errors, that are pending; POLLNVAL for a closed socket."""
+    poller = select.poll()
+    with contextlib.suppress(OSError, ValueError):
+        poller.register(descriptor_of(transport), events)
+        pending = poller.poll(0)
+        return pending[0][1] if pending else 0
+    return select.POLLNVAL
--- a/orchidhatch/proxy/wait_queues.py
+++ b/orchidhatch/proxy/wait_queues.py
@@ -1,85 +1,86 @@
-"""The places where work waits: how much may, how much does and since when, and how long it took."""
+"""The queues where work waits: how much may and does, since when, and how long it waited."""
 
 from bisect import bisect_left
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from orchidhatch.proxy.metrics import page
+from orchidhatch.proxy.metrics import metric_text
 
-# Upper ends of the classes of waits, in milliseconds: from a turn of the loop to the longest deadlines.
-BUCKETS_MS = (1, 5, 20, 50, 100, 250, 500, 1000, 2500, 5000, 10_000)
+# Upper bounds of a histogram's buckets: from a turn of the event loop to the longest deadlines.
+BUCKET_BOUNDS_MS = (1, 5, 20, 50, 100, 250, 500, 1000, 2500, 5000, 10_000)
 
 
-class Waits:
-    """Counts of waits by classes; as many figures, however many waits."""
+class WaitHistogram:
+    """Counts of waits by length; of a fixed size, however many waits."""
 
     def __init__(self) -> None:
-        self.counts = [0] * (len(BUCKETS_MS) + 1)
+        self.counts = [0] * (len(BUCKET_BOUNDS_MS) + 1)
         self.sum_us = 0
 
-    def note(self, us: int) -> None:
-        self.counts[bisect_left(BUCKETS_MS, us / 1000)] += 1
-        self.sum_us += us
-
-    def figures(self, place: str) -> str:
-        """As the samples of a Prometheus histogram, whose classes hold those before them."""
-        lines, total = [], 0
-        ends = [*(f"{end / 1000:g}" for end in BUCKETS_MS), "+Inf"]
-        for end, count in zip(ends, self.counts, strict=True):
-            total += count
-            lines.append(f'proxy_wait_seconds_bucket{{place="{place}",le="{end}"}} {total}')
-        lines.append(f'proxy_wait_seconds_sum{{place="{place}"}} {self.sum_us / 1e6:g}')
-        lines.append(f'proxy_wait_seconds_count{{place="{place}"}} {total}')
+    def note(self, wait_us: int) -> None:
+        """Count a wait."""
+        self.counts[bisect_left(BUCKET_BOUNDS_MS, wait_us / 1000)] += 1
+        self.sum_us += wait_us
+
+    def total(self) -> int:
+        """How many waits were counted."""
+        return sum(self.counts)
+
+    def samples_text(self, queue: str) -> str:
+        """The samples of a Prometheus histogram, whose buckets are cumulative."""
+        bounds = [*(f"{bound_ms / 1000:g}" for bound_ms in BUCKET_BOUNDS_MS), "+Inf"]
+        lines = []
+        cumulative = 0
+        for bound, count in zip(bounds, self.counts, strict=True):
+            cumulative += count
+            lines.append(f'proxy_wait_seconds_bucket{{place="{queue}",le="{bound}"}} {cumulative}')
+        lines.append(f'proxy_wait_seconds_sum{{place="{queue}"}} {self.sum_us / 1e6:g}')
+        lines.append(f'proxy_wait_seconds_count{{place="{queue}"}} {cumulative}')
         return "\n".join(lines) + "\n"
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
-    """A place where work waits, as it is now."""
+class QueueStatus:
+    """A queue as it is now.
+
+    `depth` is what waits and `bound` how much may, in units of the queue's own. `oldest_us` is how long the
+    oldest entry has waited, 0 where nothing waits. `rejected` counts what was rejected, cut or dropped since
+    the start, as the queue was full or it had waited too long.
+    """
 
     name: str
     bound: float
     depth: float
-    oldest_us: int  # how long the oldest has waited; 0 where nothing does
-    turned: int  # what it turned away, cut or dropped, being full or as it had waited too long
-    waits: Waits
+    oldest_us: int
+    rejected: int
+    waits: WaitHistogram
 
 
-def oldest(now: int, since: Iterable[int]) -> int:
-    """How long ago the first of these moments was; 0 where there is none."""
+def oldest_age(now: int, since: Iterable[int]) -> int:
+    """How long before `now` the first of the times was, in their unit; 0 where there is none."""
     return now - min(since, default=now)
 
 
-def figures(lines: Sequence[Line]) -> str:
-    labels = {line.name: f'place="{line.name}"' for line in lines}
+def queue_metrics_text(queues: Sequence[QueueStatus]) -> str:
+    """The metrics of all queues in Prometheus's text form."""
+    labels = {queue.name: f'place="{queue.name}"' for queue in queues}
+    depths = {labels[queue.name]: queue.depth for queue in queues}
+    bounds = {labels[queue.name]: queue.bound for queue in queues}
+    ages_s = {labels[queue.name]: queue.oldest_us / 1e6 for queue in queues}
+    rejected = {labels[queue.name]: queue.rejected for queue in queues}
+    histogram_head = (
+        "# HELP proxy_wait_seconds How long what has left a place had waited there.\n"
+        "# TYPE proxy_wait_seconds histogram\n"
+    )
     return "".join(
         [
-            page(
-                "waiting",
-                "gauge",
-                "What waits now, by place.",
-                {labels[line.name]: line.depth for line in lines},
-            ),
-            page(
-                "waiting_bound",
-                "gauge",
-                "How much may wait there.",
-                {labels[line.name]: line.bound for line in lines},
-            ),
-            page(
-                "waiting_oldest_seconds",
-                "gauge",
-                "How long the oldest of it has waited.",
-                {labels[line.name]: line.oldest_us / 1e6 for line in lines},
-            ),
-            page(
-                "turned_away_total",
-                "counter",
-                "What a place turned away, cut or dropped.",
-                {labels[line.name]: line.turned for line in lines},
+            metric_text("waiting", "gauge", "What waits now, by place.", depths),
+            metric_text("waiting_bound", "gauge", "How much may wait there.", bounds),
+            metric_text("waiting_oldest_seconds", "gauge", "How long the oldest of it has waited.", ages_s),
+            metric_text(
+                "turned_away_total", "counter", "What a place turned away, cut or dropped.", rejected
             ),
-            "# HELP proxy_wait_seconds How long what has left a place had waited there.\n"
-            "# TYPE proxy_wait_seconds histogram\n",
-            *[line.waits.figures(line.name) for line in lines],
+            histogram_head,
+            *[queue.waits.samples_text(queue.name) for queue in queues],
         ]
     )
--- a/orchidhatch/proxy/watch_connection.py
+++ b/orchidhatch/proxy/watch_connection.py
@@ -11,7 +11,8 @@
 import h11
 
 from orchidhatch.proxy import socket_inspection
-from orchidhatch.proxy.cpu_accounting import Account, Place
+from orchidhatch.proxy.cpu_accounting import CostCategory as Place
+from orchidhatch.proxy.cpu_accounting import CpuAccounting as Account
 from orchidhatch.proxy.json_lines import MAX_VALUE_BYTES, JsonLineReader
 
 log = logging.getLogger(__name__)
--- a/orchidhatch/proxy/work_queues.py
+++ b/orchidhatch/proxy/work_queues.py
@@ -9,7 +9,7 @@
 from orchidhatch.proxy.management import Management
 from orchidhatch.proxy.peers import Peers
 from orchidhatch.proxy.request_lifecycle import RequestLifecycle
-from orchidhatch.proxy.wait_queues import Line, oldest
+from orchidhatch.proxy.wait_queues import QueueStatus, oldest_age
 
 
 class WorkQueues:
@@ -33,26 +33,26 @@
         self.writer = writer
         self.max_open = max_open
 
-    def lines(self, census: MetricsSnapshot) -> list[Line]:
+    def statuses(self, snapshot: MetricsSnapshot) -> list[QueueStatus]:
         """All places, in the order in which a request passes them."""
         return [
             self._unread_clients(),
             self._partial_commands(),
-            self._queued_requests(census),
+            self._queued_requests(snapshot),
             self._connecting_attempts(),
             self._unanswered_attempts(),
             self._unsent_bytes(),
-            self._peer_messages(census),
+            self._peer_messages(snapshot),
             self.management.line(),
-            *([self.writer.line()] if self.writer else []),
+            *([self.writer.queue_status()] if self.writer else []),
         ]
 
-    def _unread_clients(self) -> Line:
+    def _unread_clients(self) -> QueueStatus:
         clients = self.clients
         metrics = clients.metrics
         unread = [connection for connection in clients.connections if not connection.is_reading]
         oldest_us = max((clients.elapsed_us(connection.read_paused_s) for connection in unread), default=0)
-        return Line(
+        return QueueStatus(
             "unread",
             clients.max_connections,
             len(unread),
@@ -61,13 +61,13 @@
             metrics.unread_waits,
         )
 
-    def _partial_commands(self) -> Line:
+    def _partial_commands(self) -> QueueStatus:
         clients = self.clients
         metrics = clients.metrics
         partial = [connection for connection in clients.connections if connection.reader.buffer]
         starts_s = [connection.awaiting_since_s() for connection in partial]
         waits_us = [clients.elapsed_us(start_s) for start_s in starts_s if start_s is not None]
-        return Line(
+        return QueueStatus(
             "partial",
             clients.max_connections,
             len(partial),
@@ -76,17 +76,17 @@
             metrics.partial_waits,
         )
 
-    def _queued_requests(self, census: MetricsSnapshot) -> Line:
-        rejected = dict(census.ended).get("crowded", 0)
-        return Line(
-            "held", self.max_open, census.queued, census.queued_us, rejected, self.requests.held_waits
+    def _queued_requests(self, snapshot: MetricsSnapshot) -> QueueStatus:
+        rejected = dict(snapshot.ended).get("crowded", 0)
+        return QueueStatus(
+            "held", self.max_open, snapshot.queued, snapshot.queued_us, rejected, self.requests.queue_waits
         )
 
-    def _connecting_attempts(self) -> Line:
+    def _connecting_attempts(self) -> QueueStatus:
         backends = self.backends
         connecting = backends.waiting()
-        oldest_us = oldest(now_us(), (attempt.sent_us for attempt in connecting))
-        return Line(
+        oldest_us = oldest_age(now_us(), (attempt.sent_us for attempt in connecting))
+        return QueueStatus(
             "connecting",
             backends.most,
             len(connecting),
@@ -95,11 +95,11 @@
             backends.connect_waits,
         )
 
-    def _unanswered_attempts(self) -> Line:
+    def _unanswered_attempts(self) -> QueueStatus:
         backends = self.backends
         unanswered = backends.unanswered()
-        oldest_us = oldest(now_us(), (attempt.written_us for attempt in unanswered))
-        return Line(
+        oldest_us = oldest_age(now_us(), (attempt.written_us for attempt in unanswered))
+        return QueueStatus(
             "backend",
             backends.most,
             len(unanswered),
@@ -108,13 +108,13 @@
             backends.answer_waits,
         )
 
-    def _unsent_bytes(self) -> Line:
+    def _unsent_bytes(self) -> QueueStatus:
         clients = self.clients
         backlog = clients.backlog
         metrics = clients.metrics
         unsent = [connection for connection in clients.connections if connection.unsent_bytes]
         oldest_us = max((clients.elapsed_us(connection.progress_s) for connection in unsent), default=0)
-        return Line(
+        return QueueStatus(
             "unsent_bytes",
             backlog.shed_limit_bytes(),
             backlog.unsent_bytes,
@@ -123,8 +123,8 @@
             metrics.unsent_waits,
         )
 
-    def _peer_messages(self, census: MetricsSnapshot) -> Line:
+    def _peer_messages(self, snapshot: MetricsSnapshot) -> QueueStatus:
         peers = self.peers
-        dropped = census.messages_dropped + peers.dropped
+        dropped = snapshot.messages_dropped + peers.dropped
         bound = MESSAGES_LIMIT * len(peers.addresses)
-        return Line("peers", bound, census.messages, census.messages_us, dropped, peers.waits)
+        return QueueStatus("peers", bound, snapshot.messages, snapshot.messages_us, dropped, peers.waits)
--- a/tests/control/agent/lease_fixture.py
+++ b/tests/control/agent/lease_fixture.py
@@ -37,7 +37,7 @@
         self.holder = self.new_holder()
         self.holder.steering.process.reload = self.reload_gateway
         gateway.policy_guard.clock = time
-        gateway.policy_guard.heard_s = time
+        gateway.policy_guard.last_contact_s = time
 
     def new_holder(self) -> PolicyLeaseHolder:
         """A holder as a new process would make it, from what is on the agent's disk."""
@@ -54,7 +54,7 @@
     async def advance(self, seconds: float = 0.0, renews: bool = True) -> int:
         """So much later, one renewal and three looks at the gateway; its health as a status."""
         self.time.now += seconds
-        self.gateway.policy_guard.ticked_s = self.time.now  # its event loop did not stall
+        self.gateway.policy_guard.last_check_s = self.time.now  # its event loop did not stall
         if renews:
             await self.holder.renew()
             await self.holder.prepare_documents()
--- a/tests/proxy/test_cpu_accounting.py
+++ b/tests/proxy/test_cpu_accounting.py
@@ -6,7 +6,7 @@
 
 from orchidhatch.gateway.actions import MetricsSnapshot
 from orchidhatch.gateway.events import MetricsRequest
-from orchidhatch.proxy.cpu_accounting import EVERY, Account, Place
+from orchidhatch.proxy.cpu_accounting import SAMPLING_INTERVAL, CostCategory, CpuAccounting
 from tests.proxy.test_management import call, operated
 from tests.sockets import Backend, Client, query, run
 
@@ -19,41 +19,52 @@
         return self.now
 
 
-def account(clock: Clock, every: int = 1) -> Account:
-    return Account(5, every, clock, clock, lambda: clock.now / 1e9)
+def account(clock: Clock, every: int = 1) -> CpuAccounting:
+    return CpuAccounting(5, every, clock, clock, lambda: clock.now / 1e9)
 
 
 def test_time_goes_to_the_place_that_was_entered_last() -> None:
     clock = Clock()
     found = account(clock)
-    outer = found.enter(Place.BACKENDS)
+    outer = found.enter(CostCategory.BACKENDS)
     clock.now += 10
-    inner = found.enter(Place.CLIENTS)
+    inner = found.enter(CostCategory.CLIENTS)
     clock.now += 3
     found.leave(inner)
     clock.now += 20
     found.leave(outer)
     clock.now += 500  # the loop's own
-    spent = {place: found.seconds(place) * 1e9 for place in Place}
-    assert spent.pop(Place.BACKENDS) == pytest.approx(30)
-    assert spent.pop(Place.CLIENTS) == pytest.approx(3)
+    spent = {place: found.estimated_s(place) * 1e9 for place in CostCategory}
+    assert spent.pop(CostCategory.BACKENDS) == pytest.approx(30)
+    assert spent.pop(CostCategory.CLIENTS) == pytest.approx(3)
     assert not any(spent.values()) and found.total_s() * 1e9 == pytest.approx(533)
 
 
 def test_timed_entries_stand_for_all_even_where_these_come_in_turn() -> None:
     clock = Clock()
-    found, read = account(clock, EVERY), 0
-    costs = [(Place.CLIENTS, 50), (Place.MODULE, 200), (Place.BACKENDS, 100), (Place.MODULE, 300)]
+    found, read = account(clock, SAMPLING_INTERVAL), 0
+    costs = [
+        (CostCategory.CLIENTS, 50),
+        (CostCategory.DECISION_CORE, 200),
+        (CostCategory.BACKENDS, 100),
+        (CostCategory.DECISION_CORE, 300),
+    ]
     rounds = 4000
-    for _ in range(rounds):  # as many as EVERY divides: a fixed stride would meet the same ones always
+    for _ in range(
+        rounds
+    ):  # as many as SAMPLING_INTERVAL divides: a fixed stride would meet the same ones always
         for place, cost in costs * 2:
             was = found.enter(place)
-            read += found.timed
+            read += found.is_timed
             clock.now += cost
             found.leave(was)
-    for place, cost in ((Place.CLIENTS, 50), (Place.MODULE, 500), (Place.BACKENDS, 100)):
-        assert found.seconds(place) * 1e9 == pytest.approx(2 * rounds * cost, rel=0.05)
-    assert read == pytest.approx(8 * rounds / EVERY, rel=0.05)
+    for place, cost in (
+        (CostCategory.CLIENTS, 50),
+        (CostCategory.DECISION_CORE, 500),
+        (CostCategory.BACKENDS, 100),
+    ):
+        assert found.estimated_s(place) * 1e9 == pytest.approx(2 * rounds * cost, rel=0.05)
+    assert read == pytest.approx(8 * rounds / SAMPLING_INTERVAL, rel=0.05)
 
 
 def test_a_place_that_fails_is_left() -> None:
@@ -65,8 +76,10 @@
         raise ValueError
 
     with pytest.raises(ValueError):
-        found.run(Place.LOG, fails)
-    assert found.place is Place.LOOP and found.seconds(Place.LOG) * 1e9 == pytest.approx(7)
+        found.run(CostCategory.LOG, fails)
+    assert found.category is CostCategory.LOOP and found.estimated_s(CostCategory.LOG) * 1e9 == pytest.approx(
+        7
+    )
 
 
 def test_steps_of_a_job_are_its_places_and_it_sees_its_cancellation() -> None:
@@ -85,7 +98,7 @@
             raise
 
     async def job() -> None:
-        task = asyncio.get_running_loop().create_task(found.steps(Place.DISCOVERY, works()))
+        task = asyncio.get_running_loop().create_task(found.steps(CostCategory.DISCOVERY, works()))
         for _ in range(4):
             clock.now += 100  # what the loop does in between is not its
             await asyncio.sleep(0)
@@ -94,18 +107,18 @@
         assert task.cancelled()
 
     run(job())
-    assert seen == ["cancelled"] and found.place is Place.LOOP
-    assert found.seconds(Place.DISCOVERY) * 1e9 == pytest.approx(18)
+    assert seen == ["cancelled"] and found.category is CostCategory.LOOP
+    assert found.estimated_s(CostCategory.DISCOVERY) * 1e9 == pytest.approx(18)
 
 
 def test_idle_intervals_are_kept_apart() -> None:
     clock = Clock()
     found = account(clock)
     clock.now += 4_000_000_000
-    assert found.interval(idle=True) == (4.0, 4.0)
+    assert found.end_interval(is_idle=True) == (4.0, 4.0)
     clock.now += 1_000_000_000
-    assert found.interval(idle=False) == (1.0, 1.0)
-    assert (found.idle_s, found.idle_ns) == (4.0, 4_000_000_000)
+    assert found.end_interval(is_idle=False) == (1.0, 1.0)
+    assert (found.idle_s, found.idle_cpu_ns) == (4.0, 4_000_000_000)
 
 
 def samples(text: str) -> dict[str, float]:
@@ -115,8 +128,8 @@
 
 @pytest.fixture
 def every_entry(monkeypatch: pytest.MonkeyPatch) -> None:
-    made = Account.__init__
-    monkeypatch.setattr(Account, "__init__", lambda self, seed=0: made(self, seed, every=1))
+    made = CpuAccounting.__init__
+    monkeypatch.setattr(CpuAccounting, "__init__", lambda self, seed=0: made(self, seed, sampling_interval=1))
 
 
 @pytest.mark.usefixtures("every_entry")
@@ -140,7 +153,7 @@
         assert found['proxy_descriptors{holder="backends"}'] == gateway.backends.held > 0
         assert found["proxy_descriptors_limit"] == gateway.max_descriptors
         assert found["proxy_resident_bytes"] > 0 and found["proxy_peak_resident_bytes"] > 0
-        assert gateway.account.place is Place.LOOP
+        assert gateway.account.category is CostCategory.LOOP
 
 
 async def test_stats_tell_nothing_new() -> None:
--- a/tests/proxy/test_long_values.py
+++ b/tests/proxy/test_long_values.py
@@ -15,7 +15,7 @@
     request_lifecycle,
     send_backlog,
 )
-from orchidhatch.proxy.metrics import Ended
+from orchidhatch.proxy.metrics import RequestOutcome
 from tests.helpers import World, of
 from tests.sockets import Backend, Client, front_door, query, resp, value
 
@@ -46,7 +46,7 @@
         rest = await client.reader.readexactly(len(LONG) - 1000 + 2)
         assert rest == LONG[1000:] + b"\r\n"
         await until(lambda: not gateway.requests.open and not gateway.core.requests)
-        assert gateway.figures.ended["read"][Ended.ANSWERED] == 1
+        assert gateway.figures.ended["read"][RequestOutcome.ANSWERED] == 1
         backend.answer = lambda words: value(b"ok")
         assert await client.ask(query("a2")) == b"ok" and backend.opened == 1
 
@@ -79,7 +79,7 @@
             backend.writers[0].transport.abort()
         with pytest.raises((EOFError, ConnectionError)):
             await client.answer()
-        assert gateway.figures.ended["read"][Ended.ERRORED] == 1
+        assert gateway.figures.ended["read"][RequestOutcome.ERRORED] == 1
         assert len(backend.commands) == 1
 
 
@@ -129,7 +129,7 @@
                 while left:
                     left -= len(await loop.sock_recv(client, 1 << 16))
         await until(lambda: not gateway.requests.open)
-        assert gateway.figures.ended["read"][Ended.ANSWERED] == count
+        assert gateway.figures.ended["read"][RequestOutcome.ANSWERED] == count
 
 
 async def test_fast_backend_is_done_while_its_client_still_reads() -> None:
--- a/tests/proxy/test_management.py
+++ b/tests/proxy/test_management.py
@@ -6,7 +6,7 @@
 import pytest
 
 from orchidhatch.proxy import management
-from orchidhatch.proxy.metrics import Figures
+from orchidhatch.proxy.metrics import RequestMetrics as Figures
 from orchidhatch.proxy.server import GatewayServer
 from tests.sockets import HOST, SETTINGS, Backend, Client, front_door, query, resp, value
 
--- a/tests/proxy/test_policy_admission.py
+++ b/tests/proxy/test_policy_admission.py
@@ -71,8 +71,8 @@
 async def test_gateway_when_it_cannot_know_what_holds_then_suspends_admission() -> None:
     async with front_door(Backend(), policy=under_policy()) as (gateway, at):
         time, heard = FakeClock(), FakeClock()
-        gateway.policy_guard.clock, gateway.policy_guard.heard_s = time, heard
-        gateway.policy_guard.ticked_s = time.now
+        gateway.policy_guard.clock, gateway.policy_guard.last_contact_s = time, heard
+        gateway.policy_guard.last_check_s = time.now
         client = await Client.open(at)
 
         async def served(name: str) -> bool:
--- a/tests/proxy/test_server.py
+++ b/tests/proxy/test_server.py
@@ -93,7 +93,7 @@
         await backend.left.wait()  # the attempt was given up by closing its connection
         assert await client.ask(resp("PING")) == b"PONG"  # nothing else came in between
         requests = gateway.requests
-        assert not requests.open and not requests.ended and requests.held_bytes == 0
+        assert not requests.open and not requests.ended and requests.open_command_bytes == 0
 
 
 async def test_client_that_leaves_ends_its_attempt() -> None:
--- a/tests/proxy/test_wait_queues.py
+++ b/tests/proxy/test_wait_queues.py
@@ -22,7 +22,7 @@
 from orchidhatch.proxy.log_writer import LogWriter
 from orchidhatch.proxy.send_backlog import SHED_LIMITS
 from orchidhatch.proxy.server import GatewayServer
-from orchidhatch.proxy.wait_queues import BUCKETS_MS, Line, Waits, figures
+from orchidhatch.proxy.wait_queues import BUCKET_BOUNDS_MS, QueueStatus, WaitHistogram, queue_metrics_text
 from tests.helpers import MS, S, World, of, servers
 from tests.helpers import SETTINGS as WORLD
 from tests.proxy.test_cpu_accounting import samples
@@ -40,9 +40,11 @@
 )
 
 
-def line(gateway: GatewayServer, name: str) -> Line:
+def line(gateway: GatewayServer, name: str) -> QueueStatus:
     return next(
-        line for line in gateway.queues.lines(gateway.dispatcher.ask(MetricsRequest())) if line.name == name
+        line
+        for line in gateway.queues.statuses(gateway.dispatcher.ask(MetricsRequest()))
+        if line.name == name
     )
 
 
@@ -51,7 +53,7 @@
         await asyncio.sleep(0.001)
 
 
-def total(waits: Waits) -> int:
+def total(waits: WaitHistogram) -> int:
     return sum(waits.counts)
 
 
@@ -59,11 +61,11 @@
 
 
 def test_waits_are_counted_in_fixed_classes() -> None:
-    waits = Waits()
+    waits = WaitHistogram()
     for us in (0, 1000, 1001, 10_000_000, 10_000_001, 10**12):
         waits.note(us)
-    assert len(waits.counts) == len(BUCKETS_MS) + 1
-    found = samples(waits.figures("x"))
+    assert len(waits.counts) == len(BUCKET_BOUNDS_MS) + 1
+    found = samples(waits.samples_text("x"))
     assert found['proxy_wait_seconds_bucket{place="x",le="0.001"}'] == 2
     assert found['proxy_wait_seconds_bucket{place="x",le="0.005"}'] == 3
     assert found['proxy_wait_seconds_bucket{place="x",le="10"}'] == 4
@@ -95,7 +97,7 @@
 
 
 def test_figures_of_no_line_are_still_a_page() -> None:
-    assert figures([]).startswith("# HELP proxy_wait_seconds ")
+    assert queue_metrics_text([]).startswith("# HELP proxy_wait_seconds ")
 
 
 # --- clients: what they write and do not read ---
@@ -126,7 +128,7 @@
         assert await first.ended()
         assert await third.ask(query("a1")) == b"ok" and await second.ask(query("a2")) == b"ok"
         found = line(gateway, "unread")
-        assert (found.turned, found.bound) == (1, 2)
+        assert (found.rejected, found.bound) == (1, 2)
 
 
 async def test_half_a_command_is_waited_for_only_so_long() -> None:
@@ -144,7 +146,7 @@
         now[0] += COMMAND_TIMEOUT_S
         gateway.clients.sweeper.sweep()
         assert await slow.answer() == "-ERR no whole command came in time" and await slow.ended()
-        assert line(gateway, "partial").turned == 1
+        assert line(gateway, "partial").rejected == 1
 
 
 def flood(count: int) -> bytes:
@@ -176,12 +178,12 @@
         now[0] += SEND_STALL_TIMEOUT_S - 1
         gateway.clients.sweeper.sweep()
         found = line(gateway, "unsent_bytes")
-        assert found.turned == 0 and found.oldest_us >= (SEND_STALL_TIMEOUT_S - 1) * 1e6
+        assert found.rejected == 0 and found.oldest_us >= (SEND_STALL_TIMEOUT_S - 1) * 1e6
         now[0] += 2
         gateway.clients.sweeper.sweep()
         await until(lambda: not gateway.clients.connections)
         found = line(gateway, "unsent_bytes")
-        assert (found.turned, found.depth) == (1, 0)
+        assert (found.rejected, found.depth) == (1, 0)
         client.raw.close()
 
 
@@ -192,12 +194,12 @@
             gateway.clients.backlog.unsent_bytes
         )  # as much as may wait, and no more
         gateway.clients.sweeper.sweep()
-        assert line(gateway, "unsent_bytes").turned == 0
+        assert line(gateway, "unsent_bytes").rejected == 0
         gateway.clients.backlog.limit_bytes = gateway.clients.backlog.unsent_bytes // SHED_LIMITS - 1
         gateway.clients.sweeper.sweep()
         await until(lambda: not gateway.clients.connections)
         found = line(gateway, "unsent_bytes")
-        assert found.turned == 1 and found.depth == 0
+        assert found.rejected == 1 and found.depth == 0
         other = await Client.open(address)
         assert await other.ask(query("a1")) == b"v" * 60_000
         client.raw.close()
@@ -214,7 +216,7 @@
         await until(lambda: len(gateway.requests.open) == 3)
         assert str(await other.ask(query("a1"))).startswith("-BUSY ")
         found = line(gateway, "held")
-        assert (found.turned, found.bound) == (1, 3)
+        assert (found.rejected, found.bound) == (1, 3)
         metrics = samples((await call(gateway, "GET /metrics"))[1])
         assert metrics['proxy_unserved_total{reason="crowded"}'] == 1
         assert metrics['proxy_deferred_total{group="read"}'] == 1
@@ -233,10 +235,10 @@
         client.send(submit("f1", body=b"B" * 60_000))
         await until(lambda: gateway.requests.open)
         assert str(await other.ask(submit("a1", body=b"B" * 60_000))).startswith("-BUSY ")
-        assert gateway.requests.held_bytes == gateway.core.requests.open_bytes < 100_000
+        assert gateway.requests.open_command_bytes == gateway.core.requests.open_bytes < 100_000
         client.writer.close()
         await until(lambda: not gateway.core.requests.open_bytes)
-        assert gateway.requests.held_bytes == 0
+        assert gateway.requests.open_command_bytes == 0
 
 
 def test_module_counts_what_is_open_through_every_end() -> None:
@@ -267,7 +269,7 @@
         client.send(query("a1"))
         await backend.came.wait()
         assert str(await other.ask(query("a2"))).startswith("-BUSY ")
-        assert line(gateway, "connecting").turned >= 1 and line(gateway, "connecting").bound == 1
+        assert line(gateway, "connecting").rejected >= 1 and line(gateway, "connecting").bound == 1
 
 
 async def test_attempts_wait_for_a_connection_that_does_not_come_up() -> None:
@@ -299,7 +301,7 @@
         assert (await call(gateway, "GET /healthcheck"))[0] == 200
         assert str(await client.answer()).startswith(("-BUSY", "-ERR"))
         found = line(gateway, "backend")
-        assert found.turned >= 1 and total(found.waits) >= 1
+        assert found.rejected >= 1 and total(found.waits) >= 1
         await until(lambda: line(gateway, "backend").depth == 0)
 
 
@@ -310,8 +312,8 @@
     world = World(replace(WORLD, gateway_count=3, peer_messages_per_s=0.01))
     for n in range(MESSAGES_LIMIT + 30):
         world.ask(f"a{n}", customer="c2", set_size=3)
-    [census] = of(MetricsSnapshot, world.tell(MetricsRequest()))
-    assert census.messages == MESSAGES_LIMIT and census.messages_dropped > 0
+    [snapshot] = of(MetricsSnapshot, world.tell(MetricsRequest()))
+    assert snapshot.messages == MESSAGES_LIMIT and snapshot.messages_dropped > 0
     world.run(50 * MS)
     assert of(MetricsSnapshot, world.tell(MetricsRequest()))[0].messages_us >= 50 * MS
 
@@ -329,7 +331,7 @@
             gateway.peers.send(told)
             gateway.peers.resume_writing()
             gateway.peers.send(told)
-            assert line(gateway, "peers").turned == 1 and total(line(gateway, "peers").waits) == 2
+            assert line(gateway, "peers").rejected == 1 and total(line(gateway, "peers").waits) == 2
             at = gateway.peers.transport.get_extra_info("sockname")
             for data in (b"", b"x", b"\xa1" + b"y" * 300):
                 peer.sendto(data, at)
@@ -347,7 +349,7 @@
         slow = [await asyncio.open_connection(*at) for _ in range(round(bound) + 3)]
         assert (await call(gateway, "GET /healthcheck"))[0] == 200
         found = line(gateway, "management")
-        assert found.turned >= 3 and found.depth <= bound and total(found.waits) == 1
+        assert found.rejected >= 3 and found.depth <= bound and total(found.waits) == 1
         for _, writer in slow:
             writer.close()
 
@@ -359,25 +361,25 @@
         while os.write(into, b"." * 4096):
             pass  # until the pipe holds no more
     os.set_blocking(into, True)
-    writer = LogWriter(into, most=10)
+    writer = LogWriter(into, max_lines=10)
     log = logging.getLogger("tests.log")
     log.propagate = False
     log.addHandler(writer)
     try:
         for number in range(40):
             log.warning("line %d", number)
-        found = writer.line()
-        assert (found.depth, found.bound, found.turned) == (10, 10, 30)
+        found = writer.queue_status()
+        assert (found.depth, found.bound, found.rejected) == (10, 10, 30)
         with os.fdopen(out, "rb") as reader:
             text = b""
             while b"line 9\n" not in text:
                 text += reader.readline()
-            assert sum(map(int, re.findall(rb"(\d+) lines were dropped", text))) == 30
+            assert sum(map(int, re.findall(rb"log lines dropped: reason=not_read count=(\d+)", text))) == 30
             assert re.findall(rb"line (\d+)", text) == [b"%d" % number for number in range(10)]
             log.warning("last")
             assert reader.readline() == b"last\n"
             writer.close()
-            assert total(writer.line().waits) == 11
+            assert total(writer.queue_status().waits) == 11
             os.close(into)
             assert reader.read() == b""
     finally:
@@ -390,7 +392,7 @@
     writer = LogWriter(into)
     writer.handle(logging.makeLogRecord({"msg": "lost"}))
     writer.close()
-    assert not writer.thread.is_alive() and writer.line().depth == 0
+    assert not writer.thread.is_alive() and writer.queue_status().depth == 0
     os.close(into)
 
 
@@ -423,7 +425,11 @@
         await until(lambda: not gateway.requests.ended)
         for name in ("unread", "held", "connecting", "backend", "unsent_bytes"):
             assert line(gateway, name).depth == 0, name
-        assert not gateway.requests.open and gateway.requests.held_bytes == 0 and not gateway.core.requests
+        assert (
+            not gateway.requests.open
+            and gateway.requests.open_command_bytes == 0
+            and not gateway.core.requests
+        )
         backend.answer = lambda words: value(b"ok")
         number, answer = 0, None
         while answer != b"ok":
