--- a/orchidhatch/gateway/handover.py
+++ b/orchidhatch/gateway/handover.py
@@ -1,4 +1,8 @@
-"""Two processes that are one gateway, while one takes over from the other."""
+"""Handover: two processes act as one gateway while the successor takes over from the predecessor.
+
+The predecessor hands over a snapshot. From then on each process tells the other what it spends and which
+attempts it has in flight, so that quotas, ceilings and limits hold for both together.
+"""
 
 from collections.abc import Iterable
 
@@ -6,16 +10,23 @@
 from orchidhatch.gateway.events import HandoverPeerGone, HandoverPeerUnknown
 from orchidhatch.gateway.handover_state import restore_overload, restore_servers, take_snapshot
 from orchidhatch.gateway.in_flight import InFlightRequest
-from orchidhatch.gateway.load_balancing import LoadBalancer, Server
+from orchidhatch.gateway.load_balancing import LoadBalancer
 from orchidhatch.gateway.membership import Membership
 from orchidhatch.gateway.overload import OverloadController
 from orchidhatch.gateway.quota import Customer
 from orchidhatch.gateway.quota_leaders import QuotaLeaders
-from orchidhatch.gateway.snapshots import GatewaySnapshot, HandoverAttempt, HandoverAttemptEnd, HandoverSpend
+from orchidhatch.gateway.server_record import ServerRecord
+from orchidhatch.gateway.snapshots import (
+    CustomerSnapshot,
+    GatewaySnapshot,
+    HandoverAttempt,
+    HandoverAttemptEnd,
+    HandoverSpend,
+)
 
 
 class HandoverPeer:
-    """What the other process has out, and all that the rules, quotas and health rest on, handed over."""
+    """The other process of this gateway, and its attempts in flight."""
 
     def __init__(
         self,
@@ -25,70 +36,96 @@
         quotas: QuotaLeaders,
         overload: OverloadController,
     ) -> None:
-        self.context, self.balancer, self.membership = context, balancer, membership
-        self.quotas, self.overload = quotas, overload
-        self.in_flight: dict[tuple[str, int], tuple[Customer, Server | None]] = {}
+        self.context = context
+        self.balancer = balancer
+        self.membership = membership
+        self.quotas = quotas
+        self.overload = overload
+        # By request and attempt number.
+        self.in_flight: dict[tuple[str, int], tuple[Customer, ServerRecord | None]] = {}
+
+    # --- the snapshot ---
 
-    def hand_over(self, jobs: Iterable[InFlightRequest]) -> None:
-        """Requests stay, and end, where they were taken."""
-        context, customers = self.context, self.quotas.customers.values()
+    def hand_over(self, requests: Iterable[InFlightRequest]) -> None:
+        """Hand over a snapshot to a successor; requests in flight stay here until they end."""
+        context = self.context
+        customers = self.quotas.customers.values()
         context.has_handover_peer = True
-        for known in customers:
-            known.reclaim_ceded_ceiling(context.now_us)
-        context.actions.append(
-            take_snapshot(context, self.overload, self.balancer, customers, self.membership.names, jobs)
+        for customer in customers:
+            customer.reclaim_ceded_ceiling(context.now_us)
+        snapshot = take_snapshot(
+            context, self.overload, self.balancer, customers, self.membership.names, requests
         )
+        context.actions.append(snapshot)
 
-    def on_snapshot(self, told: GatewaySnapshot) -> None:
-        """Go on from where the other process is; both have one clock and, but for lateness, one list."""
+    def on_snapshot(self, snapshot: GatewaySnapshot) -> None:
+        """Take over the predecessor's snapshot; both processes read the same clock."""
         self.context.has_handover_peer = True
-        restore_overload(self.overload, told.overload)
-        restore_servers(self.balancer, told)
-        for one in told.customers:
-            if self.quotas.is_in_set(one.key):
-                plan = self.context.settings.plans[one.key.plan_index]
-                known = Customer(plan, one.key, self.context.settings, one.refilled_us)
-                self.quotas.customers[one.key] = known
-                known.restore_at(one, self.context.now_us)
-        self.membership.remember(told.ejections)
-        for one in told.attempts:
-            self.on_attempt(one)
+        restore_overload(self.overload, snapshot.overload)
+        restore_servers(self.balancer, snapshot)
+        for customer_snapshot in snapshot.customers:
+            if self.quotas.is_in_set(customer_snapshot.key):
+                self._restore_customer(customer_snapshot)
+        self.membership.remember(snapshot.ejections)
+        for attempt in snapshot.attempts:
+            self.on_attempt(attempt)
+
+    def _restore_customer(self, snapshot: CustomerSnapshot) -> None:
+        plan = self.context.settings.plans[snapshot.key.plan_index]
+        customer = Customer(plan, snapshot.key, self.context.settings, snapshot.refilled_us)
+        self.quotas.customers[snapshot.key] = customer
+        customer.restore_at(snapshot, self.context.now_us)
+
+    # --- what the other process does ---
 
     def on_spend(self, event: HandoverSpend) -> None:
+        """Take units that the other process has spent from the customer's quota."""
         if self.quotas.is_in_set(event.key):
             self.quotas.customer(event.key).take(event.units)
 
     def on_attempt(self, event: HandoverAttempt) -> None:
-        name = event.id, event.attempt
+        """Count an attempt of the other process against ceilings, limits and slow start, once."""
+        name = (event.id, event.attempt)
         if not self.quotas.is_in_set(event.key) or name in self.in_flight:
             return
-        customer, server = self.quotas.customer(event.key), self.balancer.servers.get(event.server)
-        self.in_flight[name] = customer, server
+        customer = self.quotas.customer(event.key)
+        server = self.balancer.servers.get(event.server)
+        self.in_flight[name] = (customer, server)
         customer.charge_ceiling(event.units)
         customer.attempt_began()
         self.overload.in_flight += 1
-        self.overload.admitted += event.units > 0
+        if event.units > 0:
+            self.overload.admitted += 1
         if server:
             self.balancer.attempt_began(server, name, event.sent_us)
             server.credit -= 1
 
     def on_attempt_end(self, event: HandoverAttemptEnd) -> None:
-        customer, server = self.in_flight.pop((event.id, event.attempt), (None, None))
-        if customer:
-            customer.attempt_ended()
-            self.overload.in_flight -= 1
+        """Count an attempt of the other process as in flight no more, if it was."""
+        name = (event.id, event.attempt)
+        if name not in self.in_flight:
+            return
+        customer, server = self.in_flight.pop(name)
+        customer.attempt_ended()
+        self.overload.in_flight -= 1
         if server:
-            self.balancer.attempt_ended(server, (event.id, event.attempt))
+            self.balancer.attempt_ended(server, name)
+
+    # --- whether there is another process ---
 
     def on_unknown(self, _: HandoverPeerUnknown) -> None:
-        """The other may use up every ceiling's part: nothing is sent here that would count against one."""
+        """Another process may exist: send nothing that it might count against the same rate ceiling."""
         self.context.peer_is_unknown = True
 
     def on_gone(self, _: HandoverPeerGone) -> None:
+        """The other process has ended, and its attempts with it.
+
+        If it was unknown it may have used up every rate ceiling, so all of them start from empty.
+        """
         self.context.has_handover_peer = False
         if self.context.peer_is_unknown:
             self.context.peer_is_unknown = False
             for customer in self.quotas.customers.values():
                 customer.empty_ceiling(self.context.now_us)
-        for name, number in list(self.in_flight):
-            self.on_attempt_end(HandoverAttemptEnd(name, number))
+        for request_id, attempt in list(self.in_flight):
+            self.on_attempt_end(HandoverAttemptEnd(request_id, attempt))
--- a/orchidhatch/gateway/handover_state.py
+++ b/orchidhatch/gateway/handover_state.py
@@ -1,7 +1,7 @@
 """The snapshot that a process hands over to its successor: taken from the components, and restored."""
 
 import math
-from collections.abc import Iterable, Mapping
+from collections.abc import Iterable, Iterator, Mapping
 
 from orchidhatch.gateway.customer_record import CustomerRecord
 from orchidhatch.gateway.decision_context import DecisionContext
@@ -13,54 +13,70 @@
 
 def take_snapshot(
     context: DecisionContext,
-    cap: OverloadController,
-    routing: LoadBalancer,
+    overload: OverloadController,
+    balancer: LoadBalancer,
     customers: Iterable[CustomerRecord],
-    names: Mapping[str, bool],
-    jobs: Iterable[InFlightRequest],
+    ejected_by_name: Mapping[str, bool],
+    requests: Iterable[InFlightRequest],
 ) -> GatewaySnapshot:
-    """All that a gateway hands over."""
+    """Return all state that a gateway hands over, at the context's time."""
+    ejections = [HandoverEjection(name, is_ejected) for name, is_ejected in ejected_by_name.items()]
     return GatewaySnapshot(
-        context.now_us,
-        OverloadSnapshot(
-            cap.n_past or 0,
-            cap.admitted,
-            cap.period_start_us,
-            cap.period_length_us,
-            cap.overhead,
-            cap.rate,
-            routing.usual,
-        ),
-        tuple(routing.mean_us),
-        tuple(known.snapshot() for known in customers),
-        tuple(server.snapshot() for server in routing.servers.values()),
-        tuple(HandoverEjection(name, left_out) for name, left_out in names.items()),
-        tuple(
-            HandoverAttempt(
-                job.customer.key, job.request.id, number, job.servers[number].endpoint.name, sent, 0.0
-            )
-            for job in jobs
-            for number, sent in job.attempts.items()
-        ),
+        now_us=context.now_us,
+        overload=snapshot_overload(overload, balancer),
+        mean_latencies_us=tuple(balancer.mean_us),
+        customers=tuple(customer.snapshot() for customer in customers),
+        servers=tuple(server.snapshot() for server in balancer.servers.values()),
+        ejections=tuple(ejections),
+        attempts=tuple(attempts_in_flight(requests)),
+    )
+
+
+def snapshot_overload(overload: OverloadController, balancer: LoadBalancer) -> OverloadSnapshot:
+    """Return the overload controller's state, with the usual rate that slow start goes by."""
+    return OverloadSnapshot(
+        admission_limit=overload.n_past or 0,
+        admitted=overload.admitted,
+        period_start_us=overload.period_start_us,
+        period_length_us=overload.period_length_us,
+        overhead=overload.overhead,
+        attempts_per_s=overload.rate,
+        usual_attempts_per_s=balancer.usual,
     )
 
 
-def restore_overload(cap: OverloadController, snapshot: OverloadSnapshot) -> None:
+def attempts_in_flight(requests: Iterable[InFlightRequest]) -> Iterator[HandoverAttempt]:
+    """Yield the attempts in flight; the customers' snapshots have charged their units already."""
+    for request in requests:
+        for number, sent_us in request.attempts.items():
+            yield HandoverAttempt(
+                key=request.customer.key,
+                id=request.request.id,
+                attempt=number,
+                server=request.servers[number].endpoint.name,
+                sent_us=sent_us,
+                units=0.0,
+            )
+
+
+def restore_overload(overload: OverloadController, snapshot: OverloadSnapshot) -> None:
     """Put the overload controller into the state of the snapshot."""
-    cap.n_past = snapshot.admission_limit or None
-    cap.limit = math.floor(snapshot.admission_limit)
-    cap.admitted = snapshot.admitted
-    cap.period_start_us = snapshot.period_start_us
-    cap.period_length_us = snapshot.period_length_us
-    cap.overhead = snapshot.overhead
-    cap.rate = snapshot.attempts_per_s
+    overload.n_past = snapshot.admission_limit or None
+    overload.limit = math.floor(snapshot.admission_limit)
+    overload.admitted = snapshot.admitted
+    overload.period_start_us = snapshot.period_start_us
+    overload.period_length_us = snapshot.period_length_us
+    overload.overhead = snapshot.overhead
+    overload.rate = snapshot.attempts_per_s
 
 
-def restore_servers(routing: LoadBalancer, snapshot: GatewaySnapshot) -> None:
+def restore_servers(balancer: LoadBalancer, snapshot: GatewaySnapshot) -> None:
     """Restore what the predecessor had learnt of the servers that are listed here too."""
-    routing.usual = snapshot.overload.usual_attempts_per_s
-    if len(snapshot.mean_latencies_us) == len(routing.mean_us):
-        routing.mean_us = list(snapshot.mean_latencies_us)
-    for learnt in snapshot.servers:
-        if server := routing.servers.get(learnt.name):
-            server.restore(learnt)
+    balancer.usual = snapshot.overload.usual_attempts_per_s
+    # The predecessor may have run under settings with other classes.
+    if len(snapshot.mean_latencies_us) == len(balancer.mean_us):
+        balancer.mean_us = list(snapshot.mean_latencies_us)
+    for server_snapshot in snapshot.servers:
+        server = balancer.servers.get(server_snapshot.name)
+        if server:
+            server.restore(server_snapshot)
