--- a/orchidhatch/faults/seeded_defects.py
+++ b/orchidhatch/faults/seeded_defects.py
@@ -186,9 +186,9 @@
 
 def repeat_everything() -> None:
     """The decision core takes every class for safe to repeat; the guard does not."""
-    from orchidhatch.gateway.load_balancing import LoadBalancer
+    from orchidhatch.gateway.candidates import CandidateFilter
 
-    LoadBalancer.in_group = lambda self, job, server: True
+    CandidateFilter.is_in_scope = lambda self, request, server: True
 
 
 def repeat_unguarded() -> None:
@@ -208,11 +208,13 @@
 
 def start_at_full_speed() -> None:
     """New backends are sent as much as the emptiest of all would be."""
-    from orchidhatch.gateway.load_balancing import LoadBalancer
+    from orchidhatch.gateway.candidates import CandidateFilter
+    from orchidhatch.gateway.expected_cost import ExpectedCost
+    from orchidhatch.gateway.slow_start import SlowStart
 
-    LoadBalancer.has_credit = lambda self, server: True
-    LoadBalancer.cost = lambda self, server: 0.0 if self.is_cold(server) else 1.0
-    LoadBalancer.is_full = lambda self, server: False
+    SlowStart.has_credit = lambda self, server: True
+    ExpectedCost.of = lambda self, server: 0.0 if self.slow_start.is_warming_up(server) else 1.0
+    CandidateFilter.is_full = lambda self, server: False
 
 
 PLANTS = {
--- a/orchidhatch/gateway/core.py
+++ b/orchidhatch/gateway/core.py
@@ -16,13 +16,14 @@
 from orchidhatch.gateway.gossip import AttemptObservation
 from orchidhatch.gateway.handover import HandoverPeer
 from orchidhatch.gateway.in_flight import InFlightRequest
-from orchidhatch.gateway.load_balancing import LoadBalancer, Server
+from orchidhatch.gateway.load_balancing import LoadBalancer
 from orchidhatch.gateway.membership import Membership
 from orchidhatch.gateway.overload import OverloadController
 from orchidhatch.gateway.peer_outbox import PeerOutbox
 from orchidhatch.gateway.quota import ASK_US, ASKS, Customer
 from orchidhatch.gateway.quota_leaders import QuotaLeaders
 from orchidhatch.gateway.retries import RetryPolicy
+from orchidhatch.gateway.server_record import ServerRecord as Server
 from orchidhatch.gateway.settings import Settings
 from orchidhatch.gateway.times import NEVER
 
--- a/orchidhatch/gateway/membership.py
+++ b/orchidhatch/gateway/membership.py
@@ -1,116 +1,129 @@
-"""Who is in the list, and who is left out of it by hand."""
+"""Membership: the listed servers, by the endpoint list and by the operators' ejections."""
 
 from orchidhatch.gateway.actions import EjectionResult, Subscribe
 from orchidhatch.gateway.bounded_map import forget_excess
 from orchidhatch.gateway.decision_context import DecisionContext
 from orchidhatch.gateway.endpoints import Endpoint, EndpointListKind, EndpointState
 from orchidhatch.gateway.events import EndpointList, SetEjection
-from orchidhatch.gateway.load_balancing import LoadBalancer, Server
+from orchidhatch.gateway.load_balancing import LoadBalancer
+from orchidhatch.gateway.server_record import ServerRecord
 from orchidhatch.gateway.snapshots import HandoverEjection
-from orchidhatch.gateway.times import NEVER
 
-# Lists that leave out what has not changed; after a failed call the old list holds.
+# Lists that name only what has changed; after a failed call the previous list holds.
 PARTIAL_LISTS = (EndpointListKind.CHANGES, EndpointListKind.FAILED)
-MOST_GONE = 64  # servers that were removed by changes of the list and are remembered
-MOST_NAMES = 4096  # servers remembered as once listed, and so at most those left out by hand
+# Lists after which a gateway that has to subscribe to changes is without a subscription.
+UNSUBSCRIBED_LISTS = (EndpointListKind.SAVED, EndpointListKind.FAILED)
+# Servers that are remembered after the list has said that they are gone.
+MAX_GONE_SERVERS = 64
+# Names that are remembered as once listed, and so at most the servers ejected by operators.
+MAX_KNOWN_NAMES = 4096
 
 
 class Membership:
-    """Keeps what routing may choose from as the list and the operators say."""
+    """Keeps the servers that the load balancer may choose from, as the list and the operators say."""
 
-    def __init__(self, context: DecisionContext, routing: LoadBalancer) -> None:
-        self.context, self.balancer = context, routing
+    def __init__(self, context: DecisionContext, balancer: LoadBalancer) -> None:
+        self.context = context
+        self.balancer = balancer
         self.last_serial = 0
-        self.gone: dict[str, None] = {}  # by when they went, the first first
-        self.names: dict[str, bool] = {}  # all that were ever listed, and whether left out by hand
-
-    def on_list(self, news: EndpointList) -> None:
-        context, routing = self.context, self.balancer
-        if context.settings.must_subscribe and news.kind in (EndpointListKind.SAVED, EndpointListKind.FAILED):
-            context.actions.append(Subscribe(True))
-        if news.kind not in PARTIAL_LISTS:
-            named = {entry.name for entry in news.endpoints}
-            for name in [name for name in routing.servers if name not in named]:
-                self.remove(name)
-        for entry in news.endpoints:
-            self.names.setdefault(entry.name, False)
-            self.add(entry)
-            self.count_gone(entry)
-        forget_excess(self.names, MOST_NAMES, routing.servers)
-        routing.count_warm()
-
-    def count_gone(self, entry: Endpoint) -> None:
+        # Servers that are gone by the list, the first to go first.
+        self.gone: dict[str, None] = {}
+        # Names that were ever listed, and whether an operator has ejected the server.
+        self.names: dict[str, bool] = {}
+
+    # --- the endpoint list ---
+
+    def on_list(self, event: EndpointList) -> None:
+        """Apply an endpoint list or changes to it, and subscribe to changes where that is due."""
+        if self.context.settings.must_subscribe and event.kind in UNSUBSCRIBED_LISTS:
+            self.context.actions.append(Subscribe(True))
+        if event.kind not in PARTIAL_LISTS:
+            self._remove_unlisted(event.endpoints)
+        for endpoint in event.endpoints:
+            self.names.setdefault(endpoint.name, False)
+            self._add(endpoint)
+            self._limit_gone(endpoint)
+        forget_excess(self.names, MAX_KNOWN_NAMES, self.balancer.servers)
+        self.balancer.count_warm()
+
+    def _remove_unlisted(self, endpoints: tuple[Endpoint, ...]) -> None:
+        """Forget the servers that a complete list does not name."""
+        listed = {endpoint.name for endpoint in endpoints}
+        unlisted = [name for name in self.balancer.servers if name not in listed]
+        for name in unlisted:
+            self._remove(name)
+
+    def _limit_gone(self, endpoint: Endpoint) -> None:
         """Remember a bounded number of servers that are gone, as one of them may return."""
-        self.gone.pop(entry.name, None)
-        if entry.state is EndpointState.GONE:
-            self.gone[entry.name] = None
-        while len(self.gone) > MOST_GONE:
-            self.remove(next(iter(self.gone)))
-
-    def add(self, entry: Endpoint) -> None:
-        """Take over a listed server; one that has started anew begins with a record of its own."""
-        known = self.balancer.servers.get(entry.name)
-        if known is None or known.endpoint.started_us != entry.started_us:
-            known = self.create(entry, known)
-        known.endpoint = entry
-        self.place(known)
-
-    def create(self, entry: Endpoint, before: Server | None) -> Server:
-        """A new record, in the place of the one before it if there was one."""
-        server = self.balancer.servers[entry.name] = Server(entry)
-        # All gateways hear of it at once, and each owes it little: by chance they begin apart.
-        server.credit, server.credit_us = self.context.random.random(), self.context.now_us
-        if before:
-            server.serial = before.serial
-            self.balancer.index.remove(before)
+        self.gone.pop(endpoint.name, None)
+        if endpoint.state is EndpointState.GONE:
+            self.gone[endpoint.name] = None
+        while len(self.gone) > MAX_GONE_SERVERS:
+            self._remove(next(iter(self.gone)))
+
+    def _add(self, endpoint: Endpoint) -> None:
+        """Add or update a listed server; one that has started anew gets a new record."""
+        server = self.balancer.servers.get(endpoint.name)
+        if server is None or server.endpoint.started_us != endpoint.started_us:
+            server = self._create(endpoint, server)
+        server.endpoint = endpoint
+        self._update(server)
+
+    def _create(self, endpoint: Endpoint, predecessor: ServerRecord | None) -> ServerRecord:
+        """Create a record, at the list position of the server's earlier record if there is one."""
+        server = ServerRecord(endpoint)
+        self.balancer.servers[endpoint.name] = server
+        self.balancer.slow_start.randomize_credit(server)
+        if predecessor:
+            server.serial = predecessor.serial
+            self.balancer.index.remove(predecessor)
         else:
             self.last_serial += 1
             server.serial = self.last_serial
         return server
 
-    def remove(self, name: str) -> None:
-        """Forget a server that is not listed any more; attempts in flight there end as they do."""
+    def _remove(self, name: str) -> None:
+        """Forget a server that has left the list; attempts in flight there still end."""
         self.gone.pop(name, None)
-        if server := self.balancer.servers.pop(name, None):
+        server = self.balancer.servers.pop(name, None)
+        if server:
             self.balancer.index.remove(server)
 
-    def place(self, server: Server) -> None:
-        """Put a listed server where its entry, its start and the operators say."""
-        settings, entry = self.context.settings, server.endpoint
-        started_us = max(entry.started_us, server.cold_since_us)
-        is_cold = started_us and settings.cold_capacity < 1
-        server.warm_at_us = started_us + max(1, settings.warm_up_us) if is_cold else -NEVER
-        is_up = entry.state is EndpointState.UP and not self.names.get(entry.name)
+    def _update(self, server: ServerRecord) -> None:
+        """Update the slow start of a listed server, and whether it may be sent new work."""
+        self.balancer.slow_start.schedule(server)
+        endpoint = server.endpoint
+        is_up = endpoint.state is EndpointState.UP and not self.names.get(endpoint.name)
         self.balancer.index.add(server, is_up)
 
-    def find_up(self) -> None:
-        """Place all listed servers anew."""
-        for server in self.balancer.servers.values():
-            self.place(server)
-        self.balancer.count_warm()
+    # --- ejections by operators ---
 
     def on_maint(self, event: SetEjection) -> None:
-        """Leave a server out whatever the list says, or take it back: by a trial, and as a cold one."""
-        known = event.server in self.names
-        if known:
+        """Eject or readmit a server as an operator says, tell the handover peer and report the result."""
+        is_known = event.server in self.names
+        if is_known:
             self.leave_out(event)
             self.context.send_to_handover_peer(HandoverEjection(event.server, event.is_ejected))
-        self.context.actions.append(EjectionResult(event.server, event.is_ejected, known))
+        self.context.actions.append(EjectionResult(event.server, event.is_ejected, is_known))
 
     def leave_out(self, event: SetEjection | HandoverEjection) -> None:
-        if self.names.get(event.server, False) != event.is_ejected:
-            self.names[event.server] = event.is_ejected
-            server = self.balancer.servers.get(event.server)
-            if server and not event.is_ejected:
-                server.ejected_until_us = server.ejection_us = 0
-                server.failure_score, server.needs_probe = 0.0, True
-                server.cold_since_us = self.context.now_us
-                server.credit = 1.0
-            if server:
-                self.place(server)
-                self.balancer.count_warm()
-
-    def remember(self, names: tuple[HandoverEjection, ...]) -> None:
-        self.names.update((told.server, told.is_ejected) for told in names)
-        forget_excess(self.names, MOST_NAMES, self.balancer.servers)
-        self.find_up()
+        """Eject a server whatever the list says, or readmit it by a recovery probe and a slow start."""
+        if self.names.get(event.server, False) == event.is_ejected:
+            return
+        self.names[event.server] = event.is_ejected
+        server = self.balancer.servers.get(event.server)
+        if server is None:
+            return
+        if not event.is_ejected:
+            self.balancer.outliers.require_probe(server)
+            self.balancer.slow_start.restart(server)
+        self._update(server)
+        self.balancer.count_warm()
+
+    def remember(self, ejections: tuple[HandoverEjection, ...]) -> None:
+        """Take over the ejections by operators from a predecessor's snapshot."""
+        self.names.update((ejection.server, ejection.is_ejected) for ejection in ejections)
+        forget_excess(self.names, MAX_KNOWN_NAMES, self.balancer.servers)
+        for server in self.balancer.servers.values():
+            self._update(server)
+        self.balancer.count_warm()
--- a/orchidhatch/gateway/server_record.py
+++ b/orchidhatch/gateway/server_record.py
@@ -1,4 +1,7 @@
-"""What the gateway knows of each server, and how it is put into a snapshot and restored."""
+"""What the gateway knows of each server, and how it is put into a snapshot and restored.
+
+It decides nothing: slow_start.py, outlier_detection.py and attempt_averages.py read and change the fields.
+"""
 
 import zlib
 
@@ -6,7 +9,8 @@
 from orchidhatch.gateway.snapshots import ServerSnapshot
 from orchidhatch.gateway.times import NEVER
 
-SAME_START_US = 100_000  # two processes may reckon a server's start from the wall clock this differently
+# Two processes may compute the start of the same server from the wall clock this differently.
+SAME_START_TOLERANCE_US = 100_000
 
 
 class ServerRecord:
@@ -14,36 +18,36 @@
 
     def __init__(self, endpoint: Endpoint) -> None:
         self.endpoint = endpoint
-        # Its place in the order of the list; a server that was started anew has that of its predecessor.
+        # Its position in the order of the list; a server that was started anew keeps that of its predecessor.
         self.serial = 0
         self.checksum = zlib.crc32(endpoint.name.encode()) & 0xFFFF
-        # Attempts by request and number, and when each was sent.
+        # When each attempt in flight was sent, by request and attempt number.
         self.in_flight: dict[tuple[str, int], int] = {}
         self.last_answer_us = 0
+        # Outlier detection. The fault score is learnt from the attempts of all gateways, the failure score, a
+        # decaying count of failures, from those of this one.
         self.ejected_until_us = 0
         self.ejection_us = 0
-        # Latency over the mean, or WORST for a failure, as all gateways have met it.
         self.fault_score = 1.0
-        self.relative_latency = 1.0
-        # A decaying count of failures.
         self.failure_score = 0.0
         self.needs_probe = False
-        self.reported_load: float | None = None
-        self.load_reported_us = 0
         # When it was last readmitted after an ejection.
         self.recovered_us = -NEVER
-        # How much more it is sent while cold, as its answers show that it is warmer.
-        self.pace = 1.0
-        # When it may have started anew, ejected by an operator.
+        # Latency over the mean of its request class.
+        self.relative_latency = 1.0
+        self.reported_load: float | None = None
+        self.load_reported_us = 0
+        # Slow start. An operator's ejection may hide a new start, so it counts as one when it ends.
         self.cold_since_us = 0
-        # From when on it is warm, by its start.
         self.warm_at_us = NEVER
-        # The part of an attempt that is due to it while cold, and as of when.
+        # Multiplies the rate while it warms up, as its answers show that it is warmer.
+        self.rate_multiplier = 1.0
+        # Attempts that it may be sent while it warms up, as of `credit_us`.
         self.credit = 0.0
         self.credit_us = 0
 
     def snapshot(self) -> ServerSnapshot:
-        """What is handed over of it."""
+        """Return the state that is handed over to a successor process."""
         return ServerSnapshot(
             name=self.endpoint.name,
             started_us=self.endpoint.started_us,
@@ -59,8 +63,8 @@
         )
 
     def restore(self, snapshot: ServerSnapshot) -> None:
-        """Go on from the snapshot, unless the server has been started anew since."""
-        if abs(self.endpoint.started_us - snapshot.started_us) >= SAME_START_US:
+        """Take over the state of the snapshot, unless the server has been started anew since."""
+        if abs(self.endpoint.started_us - snapshot.started_us) >= SAME_START_TOLERANCE_US:
             return
         self.relative_latency = snapshot.relative_latency
         self.failure_score = snapshot.failure_score
--- a/tests/gateway/test_core.py
+++ b/tests/gateway/test_core.py
@@ -84,6 +84,7 @@
         "actions",
         "attempts",
         "bounded_map",
+        "decaying_average",
         "decision_context",
         "endpoints",
         "gossip_codec",
--- a/tests/gateway/test_load_balancing.py
+++ b/tests/gateway/test_load_balancing.py
@@ -10,6 +10,7 @@
     Subscribe,
 )
 from orchidhatch.gateway.attempts import AttemptResult
+from orchidhatch.gateway.candidates import MAX_COMPARED_SERVERS
 from orchidhatch.gateway.core import GatewayCore
 from orchidhatch.gateway.endpoints import EndpointListKind, EndpointState
 from orchidhatch.gateway.events import (
@@ -19,8 +20,8 @@
     SetEjection,
 )
 from orchidhatch.gateway.gossip import AttemptObservation, GossipMessage
-from orchidhatch.gateway.load_balancing import CHOICES, LoadBalancer
 from orchidhatch.gateway.settings import Plan
+from orchidhatch.gateway.slow_start import SlowStart
 from tests.helpers import MS, PLAN, SETTINGS, S, Set, World, of, servers
 
 
@@ -81,10 +82,10 @@
         world.ask(f"r{n}")
         world.run(20 * MS)
         world.answer(f"r{n}")
-    before = world.gateway.balancer.cold_rate(cold)
+    before = world.gateway.balancer.slow_start.permitted_rate(cold)
     world.run(10 * S)
     assert world.gateway.overload.rate < 5
-    assert world.gateway.balancer.cold_rate(cold) > before / 1.5
+    assert world.gateway.balancer.slow_start.permitted_rate(cold) > before / 1.5
 
 
 def test_cold_server_that_answers_quickly_is_sent_more_up_to_a_bound() -> None:
@@ -97,10 +98,10 @@
         world.ask(name)
         world.now += after_us
         server = world.gateway.balancer.servers[world.out[(name, 0)][0]]
-        server.pace = cold.pace
+        server.rate_multiplier = cold.rate_multiplier
         world.answer(name, result)
-        cold.pace = server.pace
-        return cold.pace
+        cold.rate_multiplier = server.rate_multiplier
+        return cold.rate_multiplier
 
     paces = [answered(MS) for _ in range(20)]
     assert paces == sorted(paces) and paces[-1] == 2.0  # under its bound even where servers are well used
@@ -195,7 +196,7 @@
             world.answer(f"{name}{n}")
         return sent
 
-    assert len(used("a", 100)) == 100 and len(set(used("b", 100))) <= 2 * CHOICES
+    assert len(used("a", 100)) == 100 and len(set(used("b", 100))) <= 2 * MAX_COMPARED_SERVERS
     known = set(used("c", 100))
     gone = tuple(replace(server, state=EndpointState.DRAINING) for server in fleet if server.name in known)
     world.tell(EndpointList(EndpointListKind.CHANGES, 2, gone))
@@ -255,30 +256,30 @@
 
 def test_warm_servers_cost_a_choice_no_look_at_their_warmth(monkeypatch: pytest.MonkeyPatch) -> None:
     looked = []
-    warmth = LoadBalancer.warmth
+    warmth = SlowStart.weight
 
-    def counted(routing: LoadBalancer, server: object) -> float:
+    def counted(slow_start: SlowStart, server: object) -> float:
         looked.append(server)
-        return warmth(routing, server)
+        return warmth(slow_start, server)
 
     world = World(replace(SETTINGS, gateway_count=200), servers(200))
-    monkeypatch.setattr(LoadBalancer, "warmth", counted)
+    monkeypatch.setattr(SlowStart, "weight", counted)
     assert of(SendAttempt, world.ask("a"))
-    assert len(looked) <= CHOICES
+    assert len(looked) <= MAX_COMPARED_SERVERS
 
 
 def test_server_is_warm_from_the_last_moment_of_its_start_on() -> None:
     started = 100 * S - SETTINGS.warm_up_us + 1  # the world begins at 100 s
     world = World(fleet=servers(2, started_us=started))
     gateway = world.gateway
-    assert all(gateway.balancer.warmth(server) < 1 for server in gateway.balancer.up)
+    assert all(gateway.balancer.slow_start.weight(server) < 1 for server in gateway.balancer.up)
     world.run(1)
     gateway.context.now_us = world.now
-    assert all(gateway.balancer.warmth(server) == 1 for server in gateway.balancer.up)
+    assert all(gateway.balancer.slow_start.weight(server) == 1 for server in gateway.balancer.up)
     world.tell(SetEjection("s0", True))
     world.tell(SetEjection("s0", False))  # it may have started anew meanwhile
-    assert gateway.balancer.warmth(gateway.balancer.servers["s0"]) == SETTINGS.cold_capacity
-    assert gateway.balancer.warmth(gateway.balancer.up[1]) == 1
+    assert gateway.balancer.slow_start.weight(gateway.balancer.servers["s0"]) == SETTINGS.cold_capacity
+    assert gateway.balancer.slow_start.weight(gateway.balancer.up[1]) == 1
 
 
 def test_server_that_has_a_connection_is_preferred_to_one_as_good_but_not_to_an_emptier_one() -> None:
@@ -298,10 +299,16 @@
     world.answer("d")
     gateway = world.gateway
     routing = gateway.balancer
-    costs = {server.endpoint.name: routing.cost(server) / server.relative_latency for server in routing.up}
+    costs = {
+        server.endpoint.name: routing.expected_cost.of(server) / server.relative_latency
+        for server in routing.up
+    }
     assert sorted(costs.values())[1] < sorted(costs.values())[2] == sorted(costs.values())[-1]
     world.run(6 * S)  # by now those connections are closed
-    assert len({round(routing.cost(server) / server.relative_latency, 9) for server in routing.up}) == 1
+    assert (
+        len({round(routing.expected_cost.of(server) / server.relative_latency, 9) for server in routing.up})
+        == 1
+    )
 
 
 def test_connections_are_no_reason_where_an_even_spread_keeps_them() -> None:
@@ -312,9 +319,9 @@
             world.ask(f"a{gap}-{n}")
             world.run(gap)
             world.answer(f"a{gap}-{n}")
-        assert gateway.balancer.spread_thin is thin
+        assert gateway.balancer.affinity.is_preferred is thin
         costs = {
-            round(gateway.balancer.cost(server) / server.relative_latency, 9)
+            round(gateway.balancer.expected_cost.of(server) / server.relative_latency, 9)
             for server in gateway.balancer.up
         }
         assert len(costs) == 1 + thin
--- a/tests/gateway/test_many_servers.py
+++ b/tests/gateway/test_many_servers.py
@@ -13,7 +13,7 @@
 from orchidhatch.gateway.attempts import AttemptResult
 from orchidhatch.gateway.endpoints import Endpoint, EndpointListKind, EndpointState
 from orchidhatch.gateway.events import EndpointList, Event, Request
-from orchidhatch.gateway.membership import MOST_GONE
+from orchidhatch.gateway.membership import MAX_GONE_SERVERS
 from orchidhatch.gateway.settings import Plan
 from tests.helpers import MS, SETTINGS, S, World, servers
 
@@ -90,20 +90,26 @@
         gone = replace(new, state=EndpointState.GONE)
         world.tell(EndpointList(EndpointListKind.CHANGES, 3 + 2 * number, (gone,)))
         world.run(10 * MS)
-    assert len(balancer.servers) == 4 + MOST_GONE
+    assert len(balancer.servers) == 4 + MAX_GONE_SERVERS
     index = balancer.index
     assert len(index.up) == 4
-    states = (index.busy, index.suspect, index.warming, index.marked)
-    assert all(len(state) <= 4 + MOST_GONE for state in states)
+    states = (index.busy, index.unhealthy, index.warming, index.decaying)
+    assert all(len(state) <= 4 + MAX_GONE_SERVERS for state in states)
 
 
 def brute_force_room(world: World, job: Any) -> list[str]:  # noqa: ANN401
     """Who may be chosen, by looking at all servers in turn."""
     balancer = world.gateway.balancer
-    usable = [server for server in balancer.up if not balancer.is_barred(job, server)] or balancer.up
-    room = [server for server in usable if balancer.is_open(server)]
-    cold = [server for server in room if balancer.is_cold(server) and not server.in_flight]
-    known = [server for server in room if balancer.has_connection(server)] if balancer.spread_thin else []
+    usable = [
+        server for server in balancer.up if not balancer.candidate_filter.is_excluded(job, server)
+    ] or balancer.up
+    room = [server for server in usable if balancer.candidate_filter.is_available(server)]
+    cold = [server for server in room if balancer.slow_start.is_warming_up(server) and not server.in_flight]
+    known = (
+        [server for server in room if balancer.affinity.has_connection(server)]
+        if balancer.affinity.is_preferred
+        else []
+    )
     found = cold or (known if len(known) >= 8 else room)
     return [server.endpoint.name for server in found]
 
@@ -133,7 +139,9 @@
                 world.answer(name, chance.choice(RESULTS), attempt)
         for job in list(world.gateway.requests.values())[:3]:
             expected = brute_force_room(world, job)
-            assert [server.endpoint.name for server in world.gateway.balancer.room(job)] == expected
+            assert [
+                server.endpoint.name for server in world.gateway.balancer.candidate_filter.within_index(job)
+            ] == expected
 
 
 def choices(count: int, seed: int, by_brute_force: bool) -> list[str]:
@@ -141,7 +149,9 @@
     world = World(replace(SETTINGS, plans=(Plan(),), seed=seed), servers(count))
     balancer = world.gateway.balancer
     if by_brute_force:
-        balancer.room = lambda job: [balancer.servers[name] for name in brute_force_room(world, job)]
+        balancer.candidate_filter.within_index = lambda job: [
+            balancer.servers[name] for name in brute_force_room(world, job)
+        ]
     chance = random.Random(seed)
     for number in range(300):
         world.ask(f"r{number}")
