--- a/tests/gateway/test_core.py
+++ b/tests/gateway/test_core.py
@@ -81,6 +81,7 @@
     others = {
         "__init__",
         "simulator",
+        "simulator_codec",
         "actions",
         "attempts",
         "bounded_map",
--- a/tests/gateway/test_simulator.py
+++ b/tests/gateway/test_simulator.py
@@ -22,7 +22,8 @@
 )
 from orchidhatch.gateway.gossip import AttemptObservation, GossipMessage, SlotGrant
 from orchidhatch.gateway.gossip_codec import pack_message, unpack_message
-from orchidhatch.gateway.simulator import Host, write_action
+from orchidhatch.gateway.simulator import Host
+from orchidhatch.gateway.simulator_codec import write_action
 
 ROOT = Path(__file__).parents[2]
 PARAMS = (
@@ -115,9 +116,9 @@
     for line in (start(0) + "NEW_REQUEST rq_a 0 0 c 900000 1 1 0 -").splitlines():
         name, *parts = line.split(" ")
         if name != "M":
-            host.event(name, parts, iter(SHEET.splitlines()[1:]))
+            host.handle(name, parts, iter(SHEET.splitlines()[1:]))
     server = host.gateways[0].requests["rq_a"].servers[0].endpoint.name
-    host.event("ATTEMPT_END", ["rq_a", "1", "0", server, "served", "9", "-", "-", "9,0.4"], iter(()))
+    host.handle("ATTEMPT_END", ["rq_a", "1", "0", server, "served", "9", "-", "-", "9,0.4"], iter(()))
     assert host.gateways[0].overload.signals["util"] == [0.4]
 
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -20,7 +20,6 @@
         "gateway/quota.py",
         "gateway/quota_leaders.py",
         "gateway/retries.py",
-        "gateway/simulator.py",
         "proxy/__main__.py",
         "proxy/attempt.py",
         "proxy/backend_replies.py",
