--- a/orchidhatch/gateway/attempt_control.py
+++ b/orchidhatch/gateway/attempt_control.py
@@ -6,13 +6,14 @@
 from orchidhatch.gateway.decision_context import DecisionContext
 from orchidhatch.gateway.events import AttemptEnded, StreamStarted
 from orchidhatch.gateway.in_flight import InFlightRequest
-from orchidhatch.gateway.load_balancing import LoadBalancer, Server
+from orchidhatch.gateway.load_balancing import LoadBalancer
 from orchidhatch.gateway.overload import OverloadController
 from orchidhatch.gateway.quota_leaders import QuotaLeaders
 from orchidhatch.gateway.request_completion import RequestCompletion
 from orchidhatch.gateway.request_queue import RequestQueue
 from orchidhatch.gateway.request_registry import RequestRegistry
 from orchidhatch.gateway.retries import RetryPolicy
+from orchidhatch.gateway.server_record import ServerRecord
 from orchidhatch.gateway.snapshots import HandoverAttemptEnd
 
 
@@ -87,7 +88,7 @@
         if not request.is_streaming or event.result is not AttemptResult.OK:
             self.learning.learn(request, server, event)
 
-    def free_server(self, server: Server, request: InFlightRequest, number: int) -> None:
+    def free_server(self, server: ServerRecord, request: InFlightRequest, number: int) -> None:
         """The server has no more work with the attempt."""
         self.overload.in_flight -= 1
         self.balancer.attempt_ended(server, (request.id, number))
--- a/orchidhatch/gateway/attempt_sender.py
+++ b/orchidhatch/gateway/attempt_sender.py
@@ -3,10 +3,11 @@
 from orchidhatch.gateway.actions import SendAttempt
 from orchidhatch.gateway.decision_context import DecisionContext
 from orchidhatch.gateway.in_flight import InFlightRequest
-from orchidhatch.gateway.load_balancing import LoadBalancer, Server
+from orchidhatch.gateway.load_balancing import LoadBalancer
 from orchidhatch.gateway.overload import OverloadController
 from orchidhatch.gateway.quota_leaders import QuotaLeaders
 from orchidhatch.gateway.retries import RetryPolicy
+from orchidhatch.gateway.server_record import ServerRecord
 from orchidhatch.gateway.snapshots import HandoverAttempt
 
 
@@ -27,7 +28,7 @@
         self.quotas = quotas
         self.retries = retries
 
-    def send(self, request: InFlightRequest, server: Server) -> None:
+    def send(self, request: InFlightRequest, server: ServerRecord) -> None:
         """Send the request's next attempt to the server."""
         now_us = self.context.now_us
         customer = request.customer
--- a/tests/gateway/test_core.py
+++ b/tests/gateway/test_core.py
@@ -54,9 +54,11 @@
     others = {
         "__init__",
         "simulator",
+        "simulator_codec",
         "actions",
         "attempts",
         "bounded_map",
+        "decaying_average",
         "decision_context",
         "endpoints",
         "gossip_codec",
