--- a/orchidhatch/faults/cli.py
+++ b/orchidhatch/faults/cli.py
@@ -20,9 +20,11 @@
 import msgspec
 import uvloop
 
-from orchidhatch.faults.checkers import Judge, Verdict
 from orchidhatch.faults.events import Recorder, gather
 from orchidhatch.faults.fleet import Fleet
+from orchidhatch.faults.invariants.check_trial import check_trial
+from orchidhatch.faults.invariants.trial_record import TrialRecord
+from orchidhatch.faults.invariants.violations import Verdict
 from orchidhatch.faults.links import Watchman
 from orchidhatch.faults.plan import PlanError, Script, draw, read_plan, read_script
 from orchidhatch.faults.processes import ROOT, TrialError
@@ -53,47 +55,46 @@
         recorder.close()
 
 
-def run(script: Script, folder: Path, plant: str = "") -> tuple[Verdict, Judge]:
+def run(script: Script, folder: Path, plant: str = "") -> tuple[Verdict, TrialRecord]:
     """Play and judge. Script, events and logs are left in the folder."""
     folder.mkdir(parents=True, exist_ok=True)
     (folder / "script.json").write_bytes(msgspec.json.format(msgspec.json.encode(script), indent=1))
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(play(script, folder, plant))
-    judge = Judge(gather(folder, folder / "trial.db"), script.plan)
-    return judge.judge(), judge
+    return check_trial(gather(folder, folder / "trial.db"), script.plan)
 
 
-def error_body(verdict: Verdict, judge: Judge) -> str:
-    lines = [f"{one.check}: {one.about}: {one.text}" for one in verdict.breaks]
-    for one in verdict.breaks[:MOST_TOLD]:
-        lines += ["", f"{one.check}: {one.about}: {one.text}", *judge.story(one.about)]
-    lines += [f"cannot say: {why}" for why in verdict.slow]
+def error_body(verdict: Verdict, trial: TrialRecord) -> str:
+    lines = [f"{one.check}: {one.about}: {one.text}" for one in verdict.violations]
+    for one in verdict.violations[:MOST_TOLD]:
+        lines += ["", f"{one.check}: {one.about}: {one.text}", *trial.story(one.about)]
+    lines += [f"cannot say: {why}" for why in verdict.too_slow]
     lines += [f"SKIPPED: {what}" for what in verdict.skipped]
     lines += [" ".join(f"{key}={value:g}" for key, value in verdict.figures.items())]
     return "\n".join(lines)
 
 
 def status_of(verdict: Verdict) -> int:
-    return UNSAID if verdict.slow else BROKEN if verdict.breaks else HELD
+    return UNSAID if verdict.too_slow else BROKEN if verdict.violations else HELD
 
 
 def run_told(script: Script, folder: Path, plant: str, as_json: bool) -> int:
-    verdict, judge = run(script, folder, plant)
+    verdict, trial = run(script, folder, plant)
     status = status_of(verdict)
     if as_json:
         value = {
             "plan": script.plan.name,
             "seed": script.seed,
             "status": status,
-            "slow": verdict.slow,
+            "slow": verdict.too_slow,
             "skipped": verdict.skipped,
             "figures": verdict.figures,
-            "breaks": [vars(one) for one in verdict.breaks],
+            "breaks": [vars(one) for one in verdict.violations],
         }
         print(json.dumps(value))
     else:
         word = {HELD: "held", BROKEN: "BROKEN", UNSAID: "cannot say"}[status]
-        print(f"{script.plan.name} seed {script.seed}: {word}\n{error_body(verdict, judge)}")
+        print(f"{script.plan.name} seed {script.seed}: {word}\n{error_body(verdict, trial)}")
     return status
 
 
@@ -103,7 +104,7 @@
     if status_of(verdict) != BROKEN:
         print("the script does not break as it stands")
         return status_of(verdict)
-    check, faults, tries = verdict.breaks[0].check, list(script.faults), 0
+    check, faults, tries = verdict.violations[0].check, list(script.faults), 0
     size = max(1, len(faults) // 2)
     while size and tries < MOST_SHRINKS:
         at = 0
@@ -111,7 +112,7 @@
             fewer = msgspec.structs.replace(script, faults=faults[:at] + faults[at + size :])
             tries += 1
             verdict, _ = run(fewer, folder / f"try-{tries}", plant)
-            if any(one.check == check for one in verdict.breaks) and not verdict.slow:
+            if any(one.check == check for one in verdict.violations) and not verdict.too_slow:
                 faults = list(fewer.faults)
                 (folder / "shrunk.json").write_bytes(msgspec.json.encode(fewer))
             else:
--- a/tests/faults/test_request_checkers.py
+++ b/tests/faults/test_request_checkers.py
@@ -6,10 +6,11 @@
 import msgspec
 import pytest
 
-from orchidhatch.faults.checkers import Judge
 from orchidhatch.faults.events import gather, read_log
+from orchidhatch.faults.invariants.check_trial import check_trial
+from orchidhatch.faults.invariants.requests import budget_with_margin
+from orchidhatch.faults.invariants.violations import Verdict
 from orchidhatch.faults.plan import Backends, Customers, Load, Plan
-from orchidhatch.faults.request_checkers import budget_with_margin
 
 MS = 1_000_000
 PLAN = Plan(
@@ -68,16 +69,15 @@
 SERVES = [(0, "backend-0", "serves", "b-0", {})]
 
 
-def judge(tmp_path: Path, events: list[Told]) -> Judge:
+def verdict_of(tmp_path: Path, events: list[Told]) -> Verdict:
     lines: dict[str, list[bytes]] = {}
     for at, who, what, about, told in [(0, "trial", "begins", "trial", {"start_ns": 0}), *SERVES, *events]:
         line = msgspec.json.encode([at * MS, who, what, about, told])
         lines.setdefault(who, []).append(line)
     for who, found in lines.items():
         (tmp_path / f"{who}-1.events").write_bytes(b"\n".join(found) + b"\n")
-    made = Judge(gather(tmp_path, tmp_path / "trial.db"), PLAN)
-    made.judge()
-    return made
+    verdict, _ = check_trial(gather(tmp_path, tmp_path / "trial.db"), PLAN)
+    return verdict
 
 
 @pytest.mark.parametrize(
@@ -107,7 +107,7 @@
 def test_a_check_finds_its_break_and_excuses_what_a_fault_did(
     tmp_path: Path, events: list[Told], broken: str
 ) -> None:
-    found = {one.check for one in judge(tmp_path, events).verdict.breaks}
+    found = {one.check for one in verdict_of(tmp_path, events).violations}
     assert found == ({broken} if broken else set())
 
 
@@ -127,5 +127,5 @@
 
 
 def test_lack_of_a_compiler_is_told(tmp_path: Path) -> None:
-    made = judge(tmp_path, [(1, "trial", "shim", "trial", {"built": False})])
-    assert made.verdict.skipped == ["no C compiler here: no system call was made to fail"]
+    verdict = verdict_of(tmp_path, [(1, "trial", "shim", "trial", {"built": False})])
+    assert verdict.skipped == ["no C compiler here: no system call was made to fail"]
--- a/tests/faults/test_trial.py
+++ b/tests/faults/test_trial.py
@@ -18,8 +18,8 @@
 
 from orchidhatch.faults import load
 from orchidhatch.faults import plan as forms
-from orchidhatch.faults.checkers import Judge
 from orchidhatch.faults.events import Recorder, gather, read
+from orchidhatch.faults.invariants.check_trial import check_trial
 from orchidhatch.faults.links import Datagrams, TcpRelay, Way
 from orchidhatch.faults.tap import Tap
 from tests.sockets import HOST, run
@@ -434,9 +434,9 @@
     (tmp_path / "x.events").write_bytes(b"".join(msgspec.json.encode(line) + b"\n" for line in lines))
     narrow = forms.Customers(plan="narrow", max_out=2)
     plan = forms.Plan(name="x", seconds=1.0, load=forms.Load(customers=[narrow]))
-    verdict = Judge(gather(tmp_path, tmp_path / "x.db"), plan).judge()
-    assert {one.check for one in verdict.breaks} == ({broken} if broken else set())
-    assert not verdict.slow
+    verdict, _ = check_trial(gather(tmp_path, tmp_path / "x.db"), plan)
+    assert {one.check for one in verdict.violations} == ({broken} if broken else set())
+    assert not verdict.too_slow
 
 
 # --- whole trials ---
