--- a/orchidhatch/gateway/admission.py
+++ b/orchidhatch/gateway/admission.py
@@ -28,8 +28,8 @@
 class Admission:
     """Decides which requests are admitted, by the quota rule (DESIGN, quota rule).
 
-    A request is admitted while its customer's local share lasts, else with a probability, `chance`; where this
-    gateway cannot know that, it asks the customer's quota leader.
+    A request is admitted while its customer's local share lasts, else with a probability, its chance; where
+    this gateway cannot know that, it asks the customer's quota leader.
     """
 
     def __init__(
@@ -102,7 +102,10 @@
         return QuotaDecisionSource.NO_ANSWER
 
     def decide(self, request: InFlightRequest, chance: float, source: QuotaDecisionSource) -> None:
-        """Queue the request if it is in quota, with the probability `chance`, or may exceed it; else reject it."""
+        """Queue the request, or reject it as over quota.
+
+        It is in quota with the probability `chance`; some plans' requests are queued if they are not.
+        """
         customer = request.customer
         self.counters.count_decision(source, self.context.now_us - customer.last_answer_us)
         request.is_in_quota = self.context.random.random() < chance
