--- /dev/null
+++ b/tests/gateway/test_gossip_codec.py
@@ -0,0 +1,27 @@
+"""The gossip codec: messages and observations come back from the datagrams they were packed into."""
+
+from orchidhatch.gateway.gossip import AttemptObservation, GossipMessage, SlotGrant
+from orchidhatch.gateway.gossip_codec import pack_message, unpack_message
+
+
+def test_messages_are_unpacked_as_packed() -> None:
+    messages = tuple(
+        GossipMessage(n, 1, 300, 200, n % 2 == 1, 2.5, 0.5, 1.0, -0.5, n, SlotGrant(n % 3)) for n in range(30)
+    )
+    datagrams = pack_message(messages)
+    assert len(datagrams) > 1 and max(map(len, datagrams)) <= 256
+    assert sum((unpack_message(datagram)[0] for datagram in datagrams), ()) == messages
+    assert unpack_message(datagrams[0][:-1]) == ((), ())
+    assert unpack_message(pack_message([GossipMessage(1, 0, 0, 2, level=1e9)])[0])[0][0].level == 32767 / 50
+
+
+def test_observations_fill_up_the_last_datagram() -> None:
+    observations = tuple(AttemptObservation(n, n % 3, n % 2 == 0, n / 255) for n in range(100))
+    message = GossipMessage(1, 0, 0, 2)
+    (datagram,) = pack_message([message], observations)
+    messages, unpacked = unpack_message(datagram)
+    assert len(datagram) <= 256 and messages == (message,)
+    assert unpacked == observations[: len(unpacked)] and len(unpacked) > 50
+    other_heads = [head + datagram[1:] for head in (b"\x51", b"\xa0", b"\xaf")]
+    for malformed in (b"", b"\xa0", datagram[:-1], datagram + b"1234", *other_heads):
+        assert unpack_message(malformed) == ((), ())
--- a/tests/gateway/test_many_servers.py
+++ b/tests/gateway/test_many_servers.py
@@ -1,4 +1,4 @@
-"""Fleets of thousands of servers: what a request costs, and that the choice is the one of looking at all."""
+"""Fleets of thousands of servers: cost of a request, and the choice against inspecting all servers."""
 
 import random
 import sys
@@ -13,21 +13,25 @@
 from orchidhatch.gateway.attempts import AttemptResult
 from orchidhatch.gateway.endpoints import Endpoint, EndpointListKind, EndpointState
 from orchidhatch.gateway.events import EndpointList, Event, Request
+from orchidhatch.gateway.in_flight import InFlightRequest
 from orchidhatch.gateway.membership import MAX_GONE_SERVERS
+from orchidhatch.gateway.server_record import ServerRecord
 from orchidhatch.gateway.settings import Plan
 from tests.helpers import MS, SETTINGS, S, World, servers
 
-FEW, MANY = 200, 3200
-MOST_GROWTH = 1.2
+FEW = 200
+MANY = 3200
+MAX_COST_GROWTH = 1.2
+MIN_CONNECTED_SERVERS = 8
 
 
-def steps_of(world: World, event: Event) -> int:
+def executed_lines(world: World, event: Event) -> int:
     """How many lines of Python the decision core executes for an event."""
     count = 0
 
-    def trace(frame: FrameType, what: str, _: Any) -> Any:  # noqa: ANN401
+    def trace(frame: FrameType, trace_event: str, _: Any) -> Any:  # noqa: ANN401
         nonlocal count
-        count += what == "line"
+        count += trace_event == "line"
         return trace
 
     before = sys.gettrace()
@@ -40,7 +44,7 @@
 
 
 def busy_world(count: int) -> World:
-    """A gateway that has served for a while, one in fifty of its servers cold."""
+    """A gateway that has served for a while; four of its servers are warming up."""
     world = World(replace(SETTINGS, plans=(Plan(),)), servers(count))
     cold = tuple(replace(server, started_us=world.now) for server in servers(4))
     world.tell(EndpointList(EndpointListKind.CHANGES, 2, cold))
@@ -52,33 +56,33 @@
     return world
 
 
-def test_cost_of_a_request_and_of_a_list_change_does_not_grow_with_the_servers() -> None:
+def test_cost_does_not_grow_with_the_number_of_servers() -> None:
+    """Neither the cost of a request nor that of a change to the endpoint list."""
     request = Request("last", 0, 0, "c", 6 * S)
     changed = replace(servers(20)[19], state=EndpointState.DRAINING)
     change = EndpointList(EndpointListKind.CHANGES, 3, (changed,))
-    costs = {
-        count: [steps_of(world, request), steps_of(world, change)]
-        for count in (FEW, MANY)
-        if (world := busy_world(count))
-    }
+    costs: dict[int, list[int]] = {}
+    for count in (FEW, MANY):
+        world = busy_world(count)
+        costs[count] = [executed_lines(world, request), executed_lines(world, change)]
     for few, many in zip(costs[FEW], costs[MANY], strict=True):
-        assert many <= MOST_GROWTH * few, costs
+        assert many <= MAX_COST_GROWTH * few, costs
 
 
-def test_cost_stays_bounded_while_most_servers_are_cold() -> None:
-    """As in a mass restart: a gateway looks at some of them by chance."""
+def test_cost_is_bounded_while_most_servers_warm_up() -> None:
+    """As in a mass restart: a gateway inspects a random sample of them."""
     costs = []
     for count in (FEW, MANY):
         world = World(replace(SETTINGS, plans=(Plan(),)), servers(count))
         cold = tuple(replace(server, started_us=world.now) for server in servers(count * 6 // 10))
         world.tell(EndpointList(EndpointListKind.CHANGES, 2, cold))
         world.run(2 * S)
-        costs.append(steps_of(world, Request("last", 0, 0, "c", 6 * S)))
+        costs.append(executed_lines(world, Request("last", 0, 0, "c", 6 * S)))
     assert costs[1] <= 3 * costs[0]
 
 
 def test_servers_that_are_gone_are_forgotten() -> None:
-    """A fleet whose servers are replaced for weeks holds as much as it did at first."""
+    """A fleet whose servers are replaced for weeks takes no more memory than at first."""
     world = World(fleet=servers(4))
     balancer = world.gateway.balancer
     for number in range(300):
@@ -97,61 +101,61 @@
     assert all(len(state) <= 4 + MAX_GONE_SERVERS for state in states)
 
 
-def brute_force_room(world: World, job: Any) -> list[str]:  # noqa: ANN401
-    """Who may be chosen, by looking at all servers in turn."""
+def brute_force_candidates(world: World, request: InFlightRequest) -> list[str]:
+    """The candidates of a request, by inspecting all servers."""
     balancer = world.gateway.balancer
-    usable = [
-        server for server in balancer.up if not balancer.candidate_filter.is_excluded(job, server)
-    ] or balancer.up
-    room = [server for server in usable if balancer.candidate_filter.is_available(server)]
-    cold = [server for server in room if balancer.slow_start.is_warming_up(server) and not server.in_flight]
-    known = (
-        [server for server in room if balancer.affinity.has_connection(server)]
-        if balancer.affinity.is_preferred
-        else []
-    )
-    found = cold or (known if len(known) >= 8 else room)
-    return [server.endpoint.name for server in found]
+    candidate_filter = balancer.candidate_filter
+    not_excluded = [server for server in balancer.up if not candidate_filter.is_excluded(request, server)]
+    available = [server for server in not_excluded or balancer.up if candidate_filter.is_available(server)]
+    idle_warming = [
+        server for server in available if balancer.slow_start.is_warming_up(server) and not server.in_flight
+    ]
+    connected = []
+    if balancer.affinity.is_preferred:
+        connected = [server for server in available if balancer.affinity.has_connection(server)]
+    candidates = idle_warming or (connected if len(connected) >= MIN_CONNECTED_SERVERS else available)
+    return [server.endpoint.name for server in candidates]
 
 
 RESULTS = (AttemptResult.OK, AttemptResult.OK, AttemptResult.OK, AttemptResult.RESET, AttemptResult.REJECTED)
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_the_choice_is_among_those_that_looking_at_all_servers_gives(seed: int) -> None:
+def test_candidates_are_those_of_inspecting_all_servers(seed: int) -> None:
     chance = random.Random(seed)
     world = World(replace(SETTINGS, plans=(Plan(),), seed=seed), servers(60))
     fleet = {server.name: server for server in servers(60)}
     for number in range(400):
-        act = chance.random()
+        change = chance.random()
         name = chance.choice(list(fleet))
-        if act < 0.05:
+        if change < 0.05:
             fleet[name] = replace(fleet[name], started_us=world.now)
-        elif act < 0.1:
+        elif change < 0.1:
             state = chance.choice([EndpointState.UP, EndpointState.DRAINING, EndpointState.GONE])
             fleet[name] = replace(fleet[name], state=state)
-        if act < 0.1:
+        if change < 0.1:
             world.tell(EndpointList(EndpointListKind.CHANGES, 2 + number, (fleet[name],)))
         world.ask(f"r{number}", time_left_us=2 * S)
         world.run(chance.choice([1, 20, 200]) * MS)
         for name, attempt in list(world.out):
             if chance.random() < 0.6:
                 world.answer(name, chance.choice(RESULTS), attempt)
-        for job in list(world.gateway.requests.values())[:3]:
-            expected = brute_force_room(world, job)
-            assert [
-                server.endpoint.name for server in world.gateway.balancer.candidate_filter.within_index(job)
-            ] == expected
+        for request in list(world.gateway.requests.values())[:3]:
+            expected = brute_force_candidates(world, request)
+            candidates = world.gateway.balancer.candidate_filter.within_index(request)
+            assert [server.endpoint.name for server in candidates] == expected
 
 
-def choices(count: int, seed: int, by_brute_force: bool) -> list[str]:
-    """Where the attempts of a busy while go; by the index, or by looking at all servers."""
+def chosen_servers(count: int, seed: int, by_brute_force: bool) -> list[str]:
+    """The servers of a busy time's attempts, by the index or by inspecting all servers."""
     world = World(replace(SETTINGS, plans=(Plan(),), seed=seed), servers(count))
     balancer = world.gateway.balancer
+
+    def candidates(request: InFlightRequest) -> list[ServerRecord]:
+        return [balancer.servers[name] for name in brute_force_candidates(world, request)]
+
     if by_brute_force:
-        balancer.candidate_filter.within_index = lambda job: [
-            balancer.servers[name] for name in brute_force_room(world, job)
-        ]
+        balancer.candidate_filter.within_index = candidates
     chance = random.Random(seed)
     for number in range(300):
         world.ask(f"r{number}")
@@ -164,8 +168,8 @@
 
 @pytest.mark.parametrize("count", [20, 400])
 @pytest.mark.parametrize("seed", range(3))
-def test_attempts_go_where_looking_at_all_servers_sends_them(count: int, seed: int) -> None:
-    """So they are spread as before, and as randomly."""
-    found = choices(count, seed, by_brute_force=False)
-    assert found == choices(count, seed, by_brute_force=True)
-    assert len(Counter(found)) > 8
+def test_attempts_go_where_inspecting_all_servers_sends_them(count: int, seed: int) -> None:
+    """So their spread, and its randomness, do not depend on the index."""
+    chosen = chosen_servers(count, seed, by_brute_force=False)
+    assert chosen == chosen_servers(count, seed, by_brute_force=True)
+    assert len(Counter(chosen)) > 8
--- a/tests/gateway/test_simulator.py
+++ b/tests/gateway/test_simulator.py
@@ -1,4 +1,4 @@
-"""The adapter as a process: the wire in, the wire out."""
+"""The simulator's adapter as a process: batches in, replies out."""
 
 import os
 import subprocess
@@ -7,23 +7,7 @@
 
 import pytest
 
-from orchidhatch.gateway.actions import (
-    AddToCounter,
-    CancelAttempt,
-    CloseIdleConnections,
-    Fail,
-    FetchEndpointList,
-    HealthCheck,
-    LogLine,
-    Reject,
-    SendGossip,
-    SetTimer,
-    Subscribe,
-)
-from orchidhatch.gateway.gossip import AttemptObservation, GossipMessage, SlotGrant
-from orchidhatch.gateway.gossip_codec import pack_message, unpack_message
 from orchidhatch.gateway.simulator import Host
-from orchidhatch.gateway.simulator_codec import write_action
 
 ROOT = Path(__file__).parents[2]
 PARAMS = (
@@ -41,12 +25,12 @@
     return f"TARGET_INSTANCE {number}\nNEW_INSTANCE {seed} me={number} {PARAMS}\n{SHEET}UPDATE disk 41 0\n"
 
 
-def batch(now: int, body: str = "") -> str:
-    return f"MARK {now}\n{body}EOF_BATCH\n"
+def batch(now_us: int, body: str = "") -> str:
+    return f"MARK {now_us}\n{body}EOF_BATCH\n"
 
 
-def requests(now: int, number: int) -> str:
-    lines = [f"NEW_REQUEST rq_{number}_{now}_{n} 0 0 cust/{n % 3} 900000 1 3 0 1" for n in range(8)]
+def requests(now_us: int, number: int) -> str:
+    lines = [f"NEW_REQUEST rq_{number}_{now_us}_{n} 0 0 cust/{n % 3} 900000 1 3 0 1" for n in range(8)]
     return f"TARGET_INSTANCE {number}\n" + "\n".join(lines) + "\n"
 
 
@@ -65,25 +49,28 @@
 
 
 def day(numbers: list[int]) -> str:
+    """The input of a simulated second for those instances."""
     text = batch(7, "".join(start(number, number + 10) for number in numbers))
     for step in range(1, 60):
-        now = 7 + step * 20_000
+        now_us = 7 + step * 20_000
         bells = "".join(f"TARGET_INSTANCE {number}\nBELL 0\n" for number in numbers)
-        text += batch(now, bells + "".join(requests(now, number) for number in numbers))
+        text += batch(now_us, bells + "".join(requests(now_us, number) for number in numbers))
     return text
 
 
 def actions_of(output: str, number: int) -> list[str]:
-    found, current = [], -1
+    """The reply's lines for that instance."""
+    actions = []
+    current = -1
     for line in output.splitlines():
         if line.startswith("CONTEXT "):
             current = int(line.split()[1])
         elif line != "FINISHED" and current == number:
-            found.append(line)
-    return found
+            actions.append(line)
+    return actions
 
 
-def test_empty_batches_and_end_of_input() -> None:
+def test_empty_batches_have_empty_replies() -> None:
     done = run(batch(1) + batch(1))
     assert (done.returncode, done.stdout, done.stderr) == (0, "FINISHED\nFINISHED\n", "")
 
@@ -96,34 +83,35 @@
     assert lines[3] == "CONTEXT 0" and lines[4].startswith("TRY rq_a 10.0.0.") and lines[-1] == "FINISHED"
 
 
-def test_same_output_under_other_hash_seeds_and_processes() -> None:
-    together, other = run(day([0, 1, 2]), "1"), run(day([0, 1, 2]), "2")
+def test_output_is_independent_of_hash_seed_and_processes() -> None:
+    together = run(day([0, 1, 2]), "1")
+    other = run(day([0, 1, 2]), "2")
     assert together.stdout == other.stdout
     for number in (0, 1, 2):
         alone = actions_of(run(day([number])).stdout, number)
         assert alone and alone == actions_of(together.stdout, number)
 
 
-def test_kill_and_start_in_one_batch_and_reused_sheet() -> None:
+def test_restart_in_one_batch_reads_a_replaced_list() -> None:
     other = "SHEET 0 1\nM 10.0.0.9:5000 0 0 0 U 1 -\nUPDATE snapshot 42 0\n"
     body = f"TARGET_INSTANCE 0\nKILLED\n{start(0)}{other}NEW_REQUEST rq_a 0 0 cust/x 900000 1 3 0\n"
     done = run(batch(5, start(0)) + batch(9, body))
     assert "TRY rq_a 10.0.0.9:5000" in done.stdout
 
 
-def test_report_values_go_by_name() -> None:
+def test_load_report_is_read_by_value_names() -> None:
     host = Host()
     for line in (start(0) + "NEW_REQUEST rq_a 0 0 c 900000 1 1 0 -").splitlines():
-        name, *parts = line.split(" ")
+        name, *values = line.split(" ")
         if name != "M":
-            host.handle(name, parts, iter(SHEET.splitlines()[1:]))
+            host.handle(name, values, iter(SHEET.splitlines()[1:]))
     server = host.gateways[0].requests["rq_a"].servers[0].endpoint.name
     host.handle("ATTEMPT_END", ["rq_a", "1", "0", server, "served", "9", "-", "-", "9,0.4"], iter(()))
     assert host.gateways[0].overload.signals["util"] == [0.4]
 
 
 @pytest.mark.parametrize(
-    ("text", "line", "word"),
+    ("text", "line", "message"),
     [
         ("HELLO\n", 1, "MARK"),
         ("MARK x\n", 1, "invalid"),
@@ -137,57 +125,15 @@
         ("MARK 1\n", 1, "within a batch"),
     ],
 )
-def test_malformed_input_is_one_plain_line(text: str, line: int, word: str) -> None:
+def test_malformed_input_ends_with_one_error_line(text: str, line: int, message: str) -> None:
     done = run(batch(0) + text)
     assert done.returncode != 0
     assert done.stdout == "FINISHED\n"
-    assert done.stderr.startswith(f"orchidhatch: line {line + 2}: ") and word in done.stderr
+    assert done.stderr.startswith(f"orchidhatch: line {line + 2}: ") and message in done.stderr
     assert done.stderr.count("\n") == 1
 
 
-def test_exception_in_the_module_is_reported() -> None:
+def test_exception_in_the_core_is_reported_as_fault() -> None:
     body = "TARGET_INSTANCE 0\nNEW_REQUEST rq_a 9 0 cust/x 900000 1 1 0\n"
     done = run(batch(5, start(0)) + batch(9, body))
     assert "CONTEXT 0\nFAULT IndexError" in done.stdout and done.stdout.endswith("FINISHED\n")
-
-
-def test_every_action_has_its_line() -> None:
-    actions = [
-        (CancelAttempt("a", 1), "CANCEL a 1"),
-        (Reject("a", 5), "TURN_AWAY a 5"),
-        (Fail("a"), "END_FAILED a"),
-        (SetTimer(5, 7), "ARM 5 7"),
-        (HealthCheck("s"), "CHECK s"),
-        (CloseIdleConnections("s"), "HANG_UP s"),
-        (
-            SendGossip(2, (GossipMessage(5, 1, 3, 4, True, level=-1.5),)),
-            f"TELL 2 a100000005010003000401{0:012x}ffb500",
-        ),
-        (AddToCounter(4, 1, 9), "ADD_TO 4 1 9"),
-        (Subscribe(False), "STREAM_CHANGES 0"),
-        (FetchEndpointList(), "SNAPSHOT"),
-        (LogLine("a\nb"), "EMIT a b"),
-    ]
-    assert [write_action(action) for action, _ in actions] == [line for _, line in actions]
-
-
-def test_words_come_back_as_they_went() -> None:
-    words = tuple(
-        GossipMessage(n, 1, 300, 200, n % 2 == 1, 2.5, 0.5, 1.0, -0.5, n, SlotGrant(n % 3)) for n in range(30)
-    )
-    messages = pack_message(words)
-    assert len(messages) > 1 and max(map(len, messages)) <= 256
-    assert sum((unpack_message(message)[0] for message in messages), ()) == words
-    assert unpack_message(messages[0][:-1]) == ((), ())
-    assert unpack_message(pack_message([GossipMessage(1, 0, 0, 2, level=1e9)])[0])[0][0].level == 32767 / 50
-
-
-def test_sightings_come_back_and_fill_up_the_last_message() -> None:
-    seen = tuple(AttemptObservation(n, n % 3, n % 2 == 0, n / 255) for n in range(100))
-    word = GossipMessage(1, 0, 0, 2)
-    (message,) = pack_message([word], seen)
-    words, back = unpack_message(message)
-    assert len(message) <= 256 and words == (word,) and back == seen[: len(back)] and len(back) > 50
-    heads = [mark + message[1:] for mark in (b"\x51", b"\xa0", b"\xaf")]
-    for broken in (b"", b"\xa0", message[:-1], message + b"1234", *heads):
-        assert unpack_message(broken) == ((), ())
