--- a/orchidhatch/gateway/attempt_averages.py
+++ b/orchidhatch/gateway/attempt_averages.py
@@ -14,7 +14,8 @@
 MIN_RELATIVE_LATENCY = 0.25
 MAX_RELATIVE_LATENCY = 4.0
 MIN_MEAN_LATENCY_US = 1.0
-INITIAL_LATENCY_PER_OBJECTIVE = 4
+# A mean latency starts at a quarter of the class's objective.
+INITIAL_OBJECTIVE_DIVISOR = 4
 
 
 class AttemptAverages:
@@ -22,9 +23,7 @@
 
     def __init__(self, classes: tuple[RequestClass, ...]) -> None:
         # By request class, in microseconds.
-        self.mean_latencies_us = [
-            rule.latency_objective_us / INITIAL_LATENCY_PER_OBJECTIVE for rule in classes
-        ]
+        self.mean_latencies_us = [rule.latency_objective_us / INITIAL_OBJECTIVE_DIVISOR for rule in classes]
         self.mean_load = 0.0
 
     def reference_latency_us(self, class_index: int) -> float:
--- a/orchidhatch/gateway/connection_affinity.py
+++ b/orchidhatch/gateway/connection_affinity.py
@@ -26,7 +26,7 @@
         self.reuse_window_us = context.settings.conn_idle_us / 2
 
     def end_period(self, attempts_per_s: float, server_count: int) -> None:
-        """Decide by a control period's rate of first attempts whether connections are worth keeping to."""
+        """Decide by a control period's rate of first attempts whether connected servers are preferred."""
         attempts_per_window = attempts_per_s * self.reuse_window_us / S
         self.is_preferred = attempts_per_window < MIN_USES_PER_CONNECTION * server_count
 
--- a/orchidhatch/gateway/expected_cost.py
+++ b/orchidhatch/gateway/expected_cost.py
@@ -48,7 +48,10 @@
         return wait * zone_cost * recovery_cost / self.slow_start.weight(server)
 
     def load_cost(self, server: ServerRecord) -> float:
-        """The factor of the load that a server reports, over the mean: 1 without a recent report."""
+        """The factor of the load that a server reports; 1 without a recent report.
+
+        Half of it follows the load over the mean.
+        """
         load = server.reported_load
         if load is None or self.context.now_us - server.load_reported_us >= LOAD_REPORT_TTL_US:
             return 1.0
--- a/orchidhatch/gateway/handover.py
+++ b/orchidhatch/gateway/handover.py
@@ -5,6 +5,7 @@
 """
 
 from collections.abc import Iterable
+from typing import NamedTuple
 
 from orchidhatch.gateway.decision_context import DecisionContext
 from orchidhatch.gateway.events import HandoverPeerGone, HandoverPeerUnknown
@@ -25,6 +26,13 @@
 )
 
 
+class PeerAttempt(NamedTuple):
+    """An attempt that the other process has in flight; no server where it is not listed here."""
+
+    customer: Customer
+    server: ServerRecord | None
+
+
 class HandoverPeer:
     """The other process of this gateway, and its attempts in flight."""
 
@@ -42,7 +50,7 @@
         self.quotas = quotas
         self.overload = overload
         # By request and attempt number.
-        self.in_flight: dict[tuple[str, int], tuple[Customer, ServerRecord | None]] = {}
+        self.in_flight: dict[tuple[str, int], PeerAttempt] = {}
 
     # --- the snapshot ---
 
@@ -90,7 +98,7 @@
             return
         customer = self.quotas.customer(event.key)
         server = self.balancer.servers.get(event.server)
-        self.in_flight[name] = (customer, server)
+        self.in_flight[name] = PeerAttempt(customer, server)
         customer.charge_ceiling(event.units)
         customer.attempt_began()
         self.overload.in_flight += 1
@@ -105,11 +113,11 @@
         name = (event.id, event.attempt)
         if name not in self.in_flight:
             return
-        customer, server = self.in_flight.pop(name)
-        customer.attempt_ended()
+        attempt = self.in_flight.pop(name)
+        attempt.customer.attempt_ended()
         self.overload.in_flight -= 1
-        if server:
-            self.balancer.attempt_ended(server, name)
+        if attempt.server:
+            self.balancer.attempt_ended(attempt.server, name)
 
     # --- whether there is another process ---
 
--- a/orchidhatch/gateway/load_balancing.py
+++ b/orchidhatch/gateway/load_balancing.py
@@ -121,7 +121,7 @@
         if succeeded:
             server.last_answer_us = now_us
             if self.is_listed(server):
-                self.index.answered(server)
+                self.index.record_answer(server)
             self.averages.record_latency(server, class_index, latency_us)
         self._record_result(server, result, latency_us)
         if self.outliers.is_ejected(server) and self.is_listed(server):
--- a/orchidhatch/gateway/server_index.py
+++ b/orchidhatch/gateway/server_index.py
@@ -90,11 +90,11 @@
 
     def _set_up(self, server: ServerRecord, is_up: bool) -> None:
         position = self.position(server)
-        was_up = self.is_up(server)
-        if is_up and not was_up:
+        is_present = self.is_up(server)
+        if is_up and not is_present:
             self._up_serials.insert(position, server.serial)
             self.up.insert(position, server)
-        elif was_up and not is_up:
+        elif is_present and not is_up:
             del self._up_serials[position]
             del self.up[position]
 
@@ -130,7 +130,7 @@
         is_neutral = server.relative_latency == NEUTRAL and server.fault_score == NEUTRAL
         set_member(self.decaying, server, not is_neutral)
 
-    def answered(self, server: ServerRecord) -> None:
+    def record_answer(self, server: ServerRecord) -> None:
         """Note that the server has answered just now."""
         self._answered[server] = None
         self._answered.move_to_end(server)
--- a/orchidhatch/gateway/simulator_codec.py
+++ b/orchidhatch/gateway/simulator_codec.py
@@ -1,7 +1,7 @@
 """The simulator's wire: lines of text, decoded to events and encoded from actions. It decides nothing.
 
 A line holds the name of a message and its values, separated by single spaces; `-` is an absent value. The
-names of messages and values are those of WIRE; times are whole microseconds.
+names of messages and values are those of WIRE; times are in microseconds.
 """
 
 from collections.abc import Iterable, Iterator
--- a/tests/gateway/test_connection_affinity.py
+++ b/tests/gateway/test_connection_affinity.py
@@ -10,7 +10,7 @@
 from tests.helpers import MS, SETTINGS, S, World, of, servers
 
 
-def test_sparse_attempts_reuse_connections_until_those_servers_drain() -> None:
+def test_sparse_attempts_reuse_connections_until_a_drain() -> None:
     """Attempts of 200 gateways to every server would cost a handshake for every second attempt."""
     fleet = servers(100)
     world = World(replace(SETTINGS, gateway_count=200, plans=(Plan(),)), fleet)
@@ -42,7 +42,8 @@
     }
 
 
-def test_connected_server_is_preferred_to_equal_but_not_to_idle_one() -> None:
+def test_connected_server_is_preferred_to_an_equal_one() -> None:
+    """But not while it has an attempt in flight and the other one has none."""
     world = World(replace(SETTINGS, conn_idle_us=8 * S), servers(8))
     world.run(2 * S)  # so few attempts that none would find the connection of the one before
     first = of(SendAttempt, world.ask("a"))[0].server
@@ -63,7 +64,8 @@
     assert len({round(cost, 9) for cost in relative_costs(world).values()}) == 1
 
 
-def test_connections_do_not_matter_where_even_spread_keeps_them_open() -> None:
+def test_connections_do_not_matter_in_dense_traffic() -> None:
+    """An even spread keeps all connections open there."""
     world = World(replace(SETTINGS, plans=(Plan(),), conn_idle_us=8 * S), servers(8))
     for gap_us, is_sparse in ((20 * MS, False), (500 * MS, True)):  # 25 attempts a server in 4 s, and one
         for n in range(20 * S // gap_us):
