--- a/orchidhatch/gateway/handover_state.py
+++ b/orchidhatch/gateway/handover_state.py
@@ -51,7 +51,7 @@
         for number, sent_us in request.attempts.items():
             yield HandoverAttempt(
                 key=request.customer.key,
-                id=request.request.id,
+                id=request.id,
                 attempt=number,
                 server=request.servers[number].endpoint.name,
                 sent_us=sent_us,
--- a/tests/gateway/test_many_servers.py
+++ b/tests/gateway/test_many_servers.py
@@ -140,7 +140,7 @@
         for name, attempt in list(world.out):
             if chance.random() < 0.6:
                 world.answer(name, chance.choice(RESULTS), attempt)
-        for request in list(world.gateway.requests.values())[:3]:
+        for request in list(world.gateway.requests)[:3]:
             expected = brute_force_candidates(world, request)
             candidates = world.gateway.balancer.candidate_filter.within_index(request)
             assert [server.endpoint.name for server in candidates] == expected
--- a/tests/gateway/test_simulator.py
+++ b/tests/gateway/test_simulator.py
@@ -7,6 +7,7 @@
 
 import pytest
 
+from orchidhatch.gateway.overload import OccupancySignal
 from orchidhatch.gateway.simulator import Host
 
 ROOT = Path(__file__).parents[2]
@@ -105,9 +106,9 @@
         name, *values = line.split(" ")
         if name != "M":
             host.handle(name, values, iter(SHEET.splitlines()[1:]))
-    server = host.gateways[0].requests["rq_a"].servers[0].endpoint.name
+    server = host.gateways[0].requests.by_id["rq_a"].servers[0].endpoint.name
     host.handle("ATTEMPT_END", ["rq_a", "1", "0", server, "served", "9", "-", "-", "9,0.4"], iter(()))
-    assert host.gateways[0].overload.signals["util"] == [0.4]
+    assert host.gateways[0].overload.samples[OccupancySignal.UTILIZATION] == [0.4]
 
 
 @pytest.mark.parametrize(
