--- a/orchidhatch/gateway/core.py
+++ b/orchidhatch/gateway/core.py
@@ -16,11 +16,12 @@
 from orchidhatch.gateway.gossip import AttemptObservation
 from orchidhatch.gateway.handover import HandoverPeer
 from orchidhatch.gateway.in_flight import InFlightRequest
+from orchidhatch.gateway.leader_requests import LEADER_REPLY_TIMEOUT_US, MAX_LEADER_REQUESTS
 from orchidhatch.gateway.load_balancing import LoadBalancer, Server
 from orchidhatch.gateway.membership import Membership
 from orchidhatch.gateway.overload import OverloadController
 from orchidhatch.gateway.peer_outbox import PeerOutbox
-from orchidhatch.gateway.quota import ASK_US, ASKS, Customer
+from orchidhatch.gateway.quota import Customer
 from orchidhatch.gateway.quota_leaders import QuotaLeaders
 from orchidhatch.gateway.retries import RetryPolicy
 from orchidhatch.gateway.settings import Settings
@@ -170,7 +171,10 @@
             self.quotas.report_demand(customer)
 
     def request_grant(self, job: InFlightRequest) -> None:
-        wait, job.grant_requests = min(ASK_US, job.rule.latency_objective_us // 8), job.grant_requests + 1
+        wait, job.grant_requests = (
+            min(LEADER_REPLY_TIMEOUT_US, job.rule.latency_objective_us // 8),
+            job.grant_requests + 1,
+        )
         self.outbox.tally["asked"] += 1
         job.decide_at_us = min(self.context.now_us + wait, job.deadline_us - 4 * TICK_US)
         self.awaiting_grant.append(job)
@@ -207,7 +211,11 @@
         ready += [job for job in self.awaiting_grant if job.decide_at_us <= now and job not in ready]
         self.awaiting_grant = [job for job in self.awaiting_grant if job not in ready]
         for job in [job for job in ready if told or not job.is_answered]:
-            if told is None and job.grant_requests < ASKS and now + ASK_US + 4 * TICK_US < job.deadline_us:
+            if (
+                told is None
+                and job.grant_requests < MAX_LEADER_REQUESTS
+                and now + LEADER_REPLY_TIMEOUT_US + 4 * TICK_US < job.deadline_us
+            ):
                 self.request_grant(job)  # words may be lost
                 continue
             chance = job.customer.chance(job.request.units, known=told is not None)
--- a/orchidhatch/gateway/peer_outbox.py
+++ b/orchidhatch/gateway/peer_outbox.py
@@ -7,7 +7,7 @@
 from orchidhatch.gateway.constants import CC_PERIOD_US, MOST_PERIODS
 from orchidhatch.gateway.decision_context import DecisionContext
 from orchidhatch.gateway.gossip import AttemptObservation, GossipMessage
-from orchidhatch.gateway.quota import ASK_US
+from orchidhatch.gateway.leader_requests import LEADER_REPLY_TIMEOUT_US
 from orchidhatch.gateway.times import S
 
 OBSERVATIONS_LIMIT = (
@@ -16,7 +16,9 @@
 MESSAGES_LIMIT = (
     60  # that wait for one peer: five messages full of them, more than any space lets come together
 )
-BURST_MESSAGES = 3  # messages that may leave ahead of their space: an ask is to be answered within ASK_US
+BURST_MESSAGES = (
+    3  # messages that may leave ahead of their space: an ask is to be answered within LEADER_REPLY_TIMEOUT_US
+)
 
 
 class PeerOutbox:
@@ -31,7 +33,9 @@
         self.since: dict[int, int] = {}  # by peer, when the first word that waits for it came
         self.dropped = 0
         self.next_send_us: dict[int, int] = {}  # by peer, when the next message to it would keep its space
-        self.spacing_us = min(ASK_US, 2 * S * (set_.gateway_count - 1) / max(1, set_.peer_messages_per_s))
+        self.spacing_us = min(
+            LEADER_REPLY_TIMEOUT_US, 2 * S * (set_.gateway_count - 1) / max(1, set_.peer_messages_per_s)
+        )
         self.ahead_us = round((BURST_MESSAGES - 1) * self.spacing_us)  # by so much it may leave ahead of it
         self.observations: deque[tuple[int, AttemptObservation]] = deque(maxlen=OBSERVATIONS_LIMIT)
         self.observed_count, self.sent_count = 0, dict[int, int]()
--- a/orchidhatch/gateway/quota.py
+++ b/orchidhatch/gateway/quota.py
@@ -5,12 +5,16 @@
 
 from orchidhatch.gateway.customer_record import CustomerRecord
 from orchidhatch.gateway.gossip import GossipMessage, SlotGrant
+from orchidhatch.gateway.leader_requests import (
+    LEADER_ANSWER_TTL_US,
+    LEADER_REPLY_TIMEOUT_US,
+    MAX_LEADER_REQUESTS,
+)
 from orchidhatch.gateway.settings import Plan, Settings
 from orchidhatch.gateway.snapshots import CustomerKey, CustomerSnapshot
 from orchidhatch.gateway.times import NEVER, S
 
 DEMAND_US = 0.5 * S  # ageing of demand: short, as the level of the store carries the longer memory
-ASK_US, ASKS, ANSWER_FRESH_US = 80_000, 2, 10 * S  # the wait for word from home, how often; how long it holds
 # How long a home counts on word of attempts out, or on a place that it granted; how often it is renewed. Most
 # attempts end before that, and a place whose end was told in a lost message is free again soon.
 OUT_FRESH_US, RENEW_US = 1.5 * S, 0.6 * S
@@ -78,7 +82,7 @@
         gained += sum(max(0, min(now, until) - before) for until in self.ceded_by_peer.values())
         self.ceded_by_peer = {peer: until for peer, until in self.ceded_by_peer.items() if until > now}
         self.ceiling = min(plan.ceiling_burst * part, self.ceiling + plan.ceiling_rate * part * gained / S)
-        if now - self.last_answer_us > ANSWER_FRESH_US:
+        if now - self.last_answer_us > LEADER_ANSWER_TTL_US:
             self.level = min(plan.burst, self.level + plan.rate * took)
             self.demand *= math.exp(-took * S / DEMAND_US)
         self.share = min(plan.burst * part, self.share + plan.rate * took * part, max(0.0, self.level))
@@ -119,7 +123,7 @@
         return self.share >= units
 
     def has_fresh_answer(self, now: int) -> bool:
-        return now - self.last_answer_us < ANSWER_FRESH_US
+        return now - self.last_answer_us < LEADER_ANSWER_TTL_US
 
     def is_dry(self, units: float, now: int) -> bool:
         """Whether by a fresh word no refill can have made room yet."""
@@ -153,7 +157,7 @@
 
     def back_off(self, now: int, chance: float) -> None:
         """The home did not answer: it may hear more than it can take in, and each ask makes that worse."""
-        self.backoff_us = min(ANSWER_FRESH_US, max(LEAST_BACKOFF_US, 2 * self.backoff_us))
+        self.backoff_us = min(LEADER_ANSWER_TTL_US, max(LEAST_BACKOFF_US, 2 * self.backoff_us))
         self.next_request_us = now + self.backoff_us * (0.5 + chance)
 
     def restore_at(self, snapshot: CustomerSnapshot, now: int) -> None:
@@ -203,10 +207,10 @@
 
     def asks_leader(self) -> bool:
         """Elsewhere than at home: whether each attempt needs a place from there, as long as it answers."""
-        return self.shares_slots() and self.slot_requests <= ASKS
+        return self.shares_slots() and self.slot_requests <= MAX_LEADER_REQUESTS
 
     def has_slot(self, now: int) -> bool:
-        return now - self.slot_granted_us < ASK_US
+        return now - self.slot_granted_us < LEADER_REPLY_TIMEOUT_US
 
     def lacks_slot(self, now: int) -> bool:
         if not self.plan.max_in_flight:
@@ -227,7 +231,9 @@
     def on_peer_in_flight(self, peer: int, out: int, ended: bool, now: int) -> None:
         """At the leader: what a peer has in flight, of which no granted slot is to be counted twice."""
         used = max(0, out - self.peers_in_flight.get(peer, (0, 0))[0] + ended)
-        if given := [at for at in self.granted_slots.pop(peer, ()) if now - at < 2 * ASK_US][used:]:
+        if given := [at for at in self.granted_slots.pop(peer, ()) if now - at < 2 * LEADER_REPLY_TIMEOUT_US][
+            used:
+        ]:
             self.granted_slots[peer] = given
         self.peers_in_flight[peer] = out, now
 
--- a/orchidhatch/gateway/quota_leaders.py
+++ b/orchidhatch/gateway/quota_leaders.py
@@ -5,6 +5,7 @@
 from orchidhatch.gateway import quota
 from orchidhatch.gateway.decision_context import DecisionContext
 from orchidhatch.gateway.gossip import GossipMessage, SlotGrant
+from orchidhatch.gateway.leader_requests import LEADER_REPLY_TIMEOUT_US, MAX_LEADER_REQUESTS
 from orchidhatch.gateway.peer_outbox import PeerOutbox
 from orchidhatch.gateway.quota import Customer
 from orchidhatch.gateway.snapshots import CustomerKey, HandoverSpend
@@ -167,10 +168,10 @@
         return limited and (unknown or customer.refill(now).ceiling < units)
 
     def request_slot(self, customer: Customer, units: float) -> None:
-        now, silent = self.context.now_us, customer.slot_requests > quota.ASKS
+        now, silent = self.context.now_us, customer.slot_requests > MAX_LEADER_REQUESTS
         if customer.has_slot(now) and not silent:
             return
-        patience = quota.QUEUED_US if customer.is_queued or silent else quota.ASK_US
+        patience = quota.QUEUED_US if customer.is_queued or silent else LEADER_REPLY_TIMEOUT_US
         if now - customer.slot_requested_us >= patience:
             customer.slot_requested_us, customer.is_queued = now, False
             customer.slot_requests += 1
@@ -198,7 +199,7 @@
         return [
             known.reported_us + quota.RENEW_US
             if known.slot_granted_us == -NEVER
-            else known.slot_granted_us + quota.ASK_US
+            else known.slot_granted_us + LEADER_REPLY_TIMEOUT_US
             for known in self.renewals.values()
         ]
 
