--- a/orchidhatch/gateway/handover_state.py
+++ b/orchidhatch/gateway/handover_state.py
@@ -3,11 +3,11 @@
 import math
 from collections.abc import Iterable, Mapping
 
-from orchidhatch.gateway.customer_record import CustomerRecord
 from orchidhatch.gateway.decision_context import DecisionContext
 from orchidhatch.gateway.in_flight import InFlightRequest
 from orchidhatch.gateway.load_balancing import LoadBalancer
 from orchidhatch.gateway.overload import OverloadController
+from orchidhatch.gateway.quota import Customer
 from orchidhatch.gateway.snapshots import GatewaySnapshot, HandoverAttempt, HandoverEjection, OverloadSnapshot
 
 
@@ -15,7 +15,7 @@
     context: DecisionContext,
     cap: OverloadController,
     routing: LoadBalancer,
-    customers: Iterable[CustomerRecord],
+    customers: Iterable[Customer],
     names: Mapping[str, bool],
     jobs: Iterable[InFlightRequest],
 ) -> GatewaySnapshot:
--- a/orchidhatch/gateway/leader_requests.py
+++ b/orchidhatch/gateway/leader_requests.py
@@ -1,4 +1,4 @@
-"""Requests to a customer's quota leader: how long a reply is awaited, and how often it is asked."""
+"""Requests to a customer's quota leader: how long a reply is awaited, and the backoff while there is none."""
 
 from orchidhatch.gateway.times import S
 
@@ -10,3 +10,31 @@
 
 LEADER_ANSWER_TTL_US = 10 * S
 """For how long an answer of the quota leader is used."""
+
+MIN_BACKOFF_US = S // 2
+"""The first pause after a request that was not answered; it doubles up to LEADER_ANSWER_TTL_US."""
+
+
+class LeaderBackoff:
+    """Exponential backoff with jitter towards a leader that does not answer.
+
+    The leader may receive more messages than it can process, and each further request makes that worse.
+    """
+
+    def __init__(self) -> None:
+        self.next_request_us: float = 0
+        self.delay_us = 0
+
+    def back_off(self, now_us: int, jitter: float) -> None:
+        """Pause requests for 0.5 to 1.5 times the doubled delay; `jitter` is from 0 to 1."""
+        self.delay_us = min(LEADER_ANSWER_TTL_US, max(MIN_BACKOFF_US, 2 * self.delay_us))
+        self.next_request_us = now_us + self.delay_us * (0.5 + jitter)
+
+    def reset(self) -> None:
+        """Permit requests again: the leader has answered."""
+        self.next_request_us = 0
+        self.delay_us = 0
+
+    def is_paused(self, now_us: int) -> bool:
+        """Whether no request may be sent yet."""
+        return now_us < self.next_request_us
--- a/orchidhatch/gateway/quota.py
+++ b/orchidhatch/gateway/quota.py
@@ -1,197 +1,220 @@
-"""A customer's quota, open cap and ceiling: what of them is here, and at its home what its set has."""
+"""A customer at this gateway: its quota, its demand, its concurrency slots and its rate ceiling.
+
+One gateway of a customer's set is its quota leader, whose counts are those of the whole set; the others, the
+members, go by the leader's answers. The rule of admission is DESIGN's: the quota over the summed demand.
+"""
 
-import math
 from dataclasses import replace
 
-from orchidhatch.gateway.customer_record import CustomerRecord
-from orchidhatch.gateway.gossip import GossipMessage, SlotGrant
-from orchidhatch.gateway.leader_requests import (
-    LEADER_ANSWER_TTL_US,
-    LEADER_REPLY_TIMEOUT_US,
-    MAX_LEADER_REQUESTS,
-)
+from orchidhatch.gateway.demand_estimate import DEMAND_DECAY_US, DemandEstimate
+from orchidhatch.gateway.gossip import SlotGrant
+from orchidhatch.gateway.leader_requests import LEADER_ANSWER_TTL_US, LeaderBackoff
+from orchidhatch.gateway.leader_slots import LeaderSlots
+from orchidhatch.gateway.member_slot import MemberSlot, ceiling_units_of
+from orchidhatch.gateway.quota_buckets import QuotaBuckets
+from orchidhatch.gateway.rate_ceiling import RateCeiling
 from orchidhatch.gateway.settings import Plan, Settings
 from orchidhatch.gateway.snapshots import CustomerKey, CustomerSnapshot
 from orchidhatch.gateway.times import NEVER, S
 
-DEMAND_US = 0.5 * S  # ageing of demand: short, as the level of the store carries the longer memory
-# How long a home counts on word of attempts out, or on a place that it granted; how often it is renewed. Most
-# attempts end before that, and a place whose end was told in a lost message is free again soon.
-OUT_FRESH_US, RENEW_US = 1.5 * S, 0.6 * S
-QUEUED_US = S // 2  # how often a gateway that the home has queued for a place asks again, as words are lost
-SLOT_ONLY = 0.02  # asked for with a place that needs nothing under the ceiling: the least a word can hold
-# Who tells the home of a customer with a shared cap leaves its part of the ceiling's rate to the home for a
-# while; the home counts on it for less, as words are late. Thus all parts together never exceed the ceiling.
-CEDED_US, COUNTED_US = 3 * S, 2 * S
-LEAST_BACKOFF_US = S // 2  # the first time that a home which did not answer is not asked
-ASK_SHARE = 0.25  # part of a gateway's intake that the asks for one customer may take
-RESERVED_PART = 0.25  # of a burst: kept at hand by those that go by older words, for those that ask
+REQUEST_INTAKE_FRACTION = 0.25
+"""The fraction of the messages that a gateway may receive which requests for one customer may take."""
+
+RESERVED_BURST_FRACTION = 0.25
+"""The fraction of the burst that is reserved for requests to the leader, not spent by older answers."""
 
 
 def plan_share(plan: Plan, size: int) -> Plan:
-    """The plan of one gateway that hears nothing of the others; its store holds one request at least."""
-    return (
-        plan
-        if size == 1
-        else replace(
-            plan,
-            rate=plan.rate / size,
-            burst=max(min(1.0, plan.burst), plan.burst / size),
-            max_in_flight=plan.max_in_flight and max(1, plan.max_in_flight // size),
-            ceiling_rate=plan.ceiling_rate / size,
-            ceiling_burst=plan.ceiling_burst / size,
-        )
+    """The plan of one of `size` gateways that do not gossip; its burst holds one request at least."""
+    if size == 1:
+        return plan
+    max_in_flight = plan.max_in_flight
+    if max_in_flight:
+        max_in_flight = max(1, max_in_flight // size)
+    return replace(
+        plan,
+        rate=plan.rate / size,
+        burst=max(min(1.0, plan.burst), plan.burst / size),
+        max_in_flight=max_in_flight,
+        ceiling_rate=plan.ceiling_rate / size,
+        ceiling_burst=plan.ceiling_burst / size,
     )
 
 
-class Customer(CustomerRecord):
-    """A customer's part of quota and ceiling here, and what is known of its whole set: all, at its home."""
-
-    def __init__(self, plan: Plan, key: CustomerKey, set_: Settings, now: int) -> None:
-        super().__init__(plan if set_.may_gossip else plan_share(plan, key[3]), key, set_, now)
-        self.is_isolated = self.size < key[3]
-        self.ceded_until_us = 0 if self.is_leader or not self.shares_slots() else now + CEDED_US
-        self.requests_per_s = ASK_SHARE * set_.peer_messages_per_s  # past this demand a word must do
-        self.answer_use_us = self.size * S / max(1.0, self.requests_per_s)  # and is used for so long
-
-    def has_idled(self, time_us: int) -> None:
-        """Its part of the ceiling was empty at this process's start at worst, as that may be a restart."""
-        plan, ceded_until_us = self.plan, CEDED_US if self.ceded_until_us else 0
-        gained = plan.ceiling_rate * max(0, time_us - ceded_until_us) / S
-        self.ceiling = min(plan.ceiling_burst, gained) / self.size
-
-    def change_plan(self, plan: Plan, index: int, now: int) -> None:
-        """Another plan holds for it: what is here stays the same part of the whole, of debts too, and what
-        was granted stays granted."""
-        old, self.key = self.refill(now).plan, self.key._replace(plan_index=index)
-        self.plan = plan = plan_share(plan, self.key[3]) if self.is_isolated else plan
-        kept, ceiling = (
-            new / was if was else 0.0
-            for new, was in ((plan.burst, old.burst), (plan.ceiling_burst, old.ceiling_burst))
-        )
-        self.share, self.level, self.allowance = self.share * kept, self.level * kept, self.allowance * kept
-        self.ceiling *= ceiling
-        if not self.is_leader and self.shares_slots() and not self.ceded_until_us:
-            self.ceded_until_us = now + CEDED_US  # the home may count on it by the words of others
-
-    def refill(self, now: int) -> "Customer":
-        """Refill the parts. Demand and level stay as told while that is fresh, as others ask meanwhile."""
-        before, plan, part = self.refilled_us, self.plan, 1 / self.size
-        took, self.refilled_us = (now - before) / S, now
-        gained = max(0, now - max(before, self.ceded_until_us))  # nothing while it is left to the home
-        gained += sum(max(0, min(now, until) - before) for until in self.ceded_by_peer.values())
-        self.ceded_by_peer = {peer: until for peer, until in self.ceded_by_peer.items() if until > now}
-        self.ceiling = min(plan.ceiling_burst * part, self.ceiling + plan.ceiling_rate * part * gained / S)
-        if now - self.last_answer_us > LEADER_ANSWER_TTL_US:
-            self.level = min(plan.burst, self.level + plan.rate * took)
-            self.demand *= math.exp(-took * S / DEMAND_US)
-        self.share = min(plan.burst * part, self.share + plan.rate * took * part, max(0.0, self.level))
-        self.allowance = min(self.most_allowance(), self.allowance + plan.rate * took * part)
+class Customer:
+    """A customer's state here, composed of its quota, demand, slots and ceiling; times in microseconds.
+
+    `size` is the count of gateways that share its plan, `leader` the index of its quota leader. Where
+    gateways may not gossip it is isolated: each goes by its share of the plan as if it were the whole set.
+    """
+
+    def __init__(self, plan: Plan, key: CustomerKey, settings: Settings, now_us: int) -> None:
+        self.key = key
+        self.plan = plan if settings.may_gossip else plan_share(plan, key.set_size)
+        self.size = key.set_size if settings.may_gossip else 1
+        self.is_isolated = self.size < key.set_size
+        self.leader = settings.gateway_index
+        if settings.may_gossip:
+            self.leader = (key.set_first + key.customer % self.size) % settings.gateway_count
+        self.is_leader = self.leader == settings.gateway_index
+
+        self.quota = QuotaBuckets(self.plan, self.size, self.is_isolated)
+        self.demand = DemandEstimate()
+        self.ceiling = RateCeiling(self.plan, self.size)
+        self.leader_slots = LeaderSlots()
+        self.member_slot = MemberSlot()
+        self.backoff = LeaderBackoff()
+        if self.needs_leader_slots():
+            self.ceiling.cede(now_us)
+
+        self.in_flight = 0
+        self.refilled_us = now_us
+        self.last_answer_us = -NEVER
+        self.max_requests_per_s = REQUEST_INTAKE_FRACTION * settings.peer_messages_per_s
+        # For how long an answer is used where demand exceeds the requests that the leader can receive.
+        self.answer_use_us = self.size * S / max(1.0, self.max_requests_per_s)
+
+    def change_plan(self, plan: Plan, plan_index: int, now_us: int) -> None:
+        """Go on under another plan; levels and debts scale with the burst, granted slots stay granted."""
+        self.refill(now_us)
+        self.key = self.key._replace(plan_index=plan_index)
+        self.plan = plan_share(plan, self.key.set_size) if self.is_isolated else plan
+        self.quota.change_plan(self.plan)
+        self.ceiling.change_plan(self.plan)
+        if self.needs_leader_slots() and not self.ceiling.ceded_until_us:
+            # The leader may use the share by the reports of others.
+            self.ceiling.cede(now_us)
+
+    def refill(self, now_us: int) -> "Customer":
+        """Bring the buckets and the demand up to the time; returns the customer.
+
+        While the leader's answer is fresh, its demand and level stay, as other gateways spend meanwhile.
+        """
+        since_us = self.refilled_us
+        elapsed_s = (now_us - since_us) / S
+        self.refilled_us = now_us
+        self.ceiling.refill(since_us, now_us)
+        if now_us - self.last_answer_us > LEADER_ANSWER_TTL_US:
+            self.quota.refill_set(elapsed_s)
+            self.demand.decay(elapsed_s)
+        self.quota.refill_local(elapsed_s)
         return self
 
+    # --- admission under the quota ---
+
     def chance(self, units: float, known: bool = True) -> float:
-        """Quota over summed demand; the quota is the rate while demand ages, and what the set has or owes.
+        """The probability with which a request is admitted; `known` says that the leader has answered it.
 
-        Where a part holds no whole request, or the open cap is shared, the parts lie at the home together,
-        which is asked for each: who has its word is let in while the level holds the request. Who goes by an
-        older word shares what those that ask leave of the rate, and what the level is above or under a part
-        of the burst, over the time that such a word is used. Who has none spends its own part.
+        It is the quota over the summed demand, where the quota is the level of the set and what the plan
+        gives while demand decays. Where a local share holds no whole request, or the leader grants the slots,
+        the leader is asked for each request, and its level decides. A request that goes by an older answer
+        shares what the requests to the leader leave; one without any answer draws on the allowance.
         """
-        level, plan = self.level, self.plan
-        if self.is_isolated and plan.rate:  # it has no other's demand to go by; a large request leaves a debt
-            return float(level >= min(units, plan.burst))
-        if self.is_pooled(units) or self.shares_slots():
+        level = self.quota.set_level
+        if self.is_isolated and self.plan.rate:
+            # No other gateway's demand is known; a request above the burst leaves a debt.
+            return float(level >= min(units, self.plan.burst))
+        if self.quota.is_too_large_for_share(units) or self.shares_slots():
             if known:
                 return float(level >= units)
             if not self.has_fresh_answer(self.refilled_us):
-                return float(self.allowance >= min(units, self.most_allowance()))
-            asked = min(plan.rate, self.requests_per_s) * DEMAND_US / S
-            level = (level - RESERVED_PART * plan.burst) * DEMAND_US / self.answer_use_us - asked
-        quota = level + plan.rate * DEMAND_US / S
-        return max(0.0, min(1.0, quota / max(units, self.demand))) if plan.rate else 1.0
-
-    def most_allowance(self) -> float:
-        """What it may spend unheard at once: its part of the burst, of one request at least."""
-        return max(1.0, self.plan.burst / self.size)
-
-    def is_pooled(self, units: float) -> bool:
-        """Whether a gateway's part of the burst holds less than the request."""
-        return units <= self.plan.burst < units * self.size
+                return float(self.quota.has_allowance(units))
+            level = self.unrequested_level()
+        if not self.plan.rate:
+            return 1.0
+        quota = level + self.plan.rate * DEMAND_DECAY_US / S
+        return max(0.0, min(1.0, quota / max(units, self.demand.units)))
+
+    def unrequested_level(self) -> float:
+        """What requests to the leader leave of the level, over the decay time, to those without one."""
+        reserved = RESERVED_BURST_FRACTION * self.plan.burst
+        requested = min(self.plan.rate, self.max_requests_per_s) * DEMAND_DECAY_US / S
+        return (self.quota.set_level - reserved) * DEMAND_DECAY_US / self.answer_use_us - requested
 
     def has_local_share(self, units: float) -> bool:
         """Whether the local share holds so many units."""
-        return self.share >= units
+        return self.quota.has_local_share(units)
 
-    def has_fresh_answer(self, now: int) -> bool:
-        return now - self.last_answer_us < LEADER_ANSWER_TTL_US
+    def has_fresh_answer(self, now_us: int) -> bool:
+        """Whether the leader has answered a short time ago."""
+        return now_us - self.last_answer_us < LEADER_ANSWER_TTL_US
 
-    def is_dry(self, units: float, now: int) -> bool:
-        """Whether by a fresh word no refill can have made room yet."""
-        return (
-            self.has_fresh_answer(now)
-            and self.level + self.plan.rate * (now - self.last_answer_us) / S < units
-        )
+    def cannot_have_refilled(self, units: float, now_us: int) -> bool:
+        """Whether by a fresh answer the set's bucket cannot hold so many units yet."""
+        refilled = self.quota.set_level + self.plan.rate * (now_us - self.last_answer_us) / S
+        return self.has_fresh_answer(now_us) and refilled < units
 
     def spend(self, units: float) -> None:
-        """It owes nothing for long, as others spend of it too; alone it is sure of what it owes."""
-        least = -math.inf if self.is_isolated else -self.plan.rate * DEMAND_US / S
-        self.level = max(self.level - units, least)
+        """Take units from the bucket of the set; negative units return some."""
+        self.quota.spend_of_set(units)
 
     def take(self, units: float) -> None:
-        """Spend of what is here."""
-        self.spend(units)
-        self.unreported_spend += units
-        self.share = max(0.0, self.share - units)
-        least = min(0.0, self.most_allowance() - units)  # a larger one leaves a debt
-        self.allowance = max(self.allowance - units, least)
+        """Take the units of a request at this gateway; negative units return some."""
+        self.quota.spend_locally(units)
 
     def deduct_unreported_spend(self, units: float) -> None:
         """Take units from what will be reported as spent: the leader has counted them already."""
-        self.unreported_spend -= units
+        self.quota.unreported_spend -= units
 
     def quota_wait_us(self, units: float) -> float:
         """In how long the quota has so many units, at the rate that others' demand leaves; NEVER if none."""
-        others_per_s = max(0.0, self.demand - units) / DEMAND_US * S
+        others_per_s = max(0.0, self.demand.units - units) / DEMAND_DECAY_US * S
         spare_per_s = self.plan.rate - others_per_s
-        return (units - self.level) / spare_per_s * S if spare_per_s > 0 else NEVER
+        if spare_per_s <= 0:
+            return NEVER
+        return (units - self.quota.set_level) / spare_per_s * S
 
-    def back_off(self, now: int, chance: float) -> None:
-        """The home did not answer: it may hear more than it can take in, and each ask makes that worse."""
-        self.backoff_us = min(LEADER_ANSWER_TTL_US, max(LEAST_BACKOFF_US, 2 * self.backoff_us))
-        self.next_request_us = now + self.backoff_us * (0.5 + chance)
+    def clear_unreported(self) -> None:
+        """Begin a new report: what was requested and spent here has been sent."""
+        self.demand.unreported_units = 0.0
+        self.quota.unreported_spend = 0.0
 
-    def restore_at(self, snapshot: CustomerSnapshot, now: int) -> None:
-        """Go on from a predecessor's snapshot, as of now."""
-        self.restore(snapshot)
-        self.ceded_until_us = now + CEDED_US if self.ceded_until_us else 0
+    def on_leader_answer(self, demand: float, level: float, now_us: int) -> None:
+        """The leader has answered with the demand and the level of the set."""
+        self.last_answer_us = now_us
+        self.demand.units = demand
+        self.quota.update_set_level(level)
+        self.backoff.reset()
+
+    def back_off(self, now_us: int, chance: float) -> None:
+        """The leader did not answer: request nothing for a while, with `chance` from 0 to 1 as jitter."""
+        self.backoff.back_off(now_us, chance)
 
-    # --- the rate ceiling ---
+    # --- rate ceiling ---
 
     def lacks_ceiling_units(self, units: float) -> bool:
         """Whether the rate ceiling has too little for a request, as it was last refilled."""
-        return self.plan.ceiling_rate > 0 and self.ceiling < units
+        return self.ceiling.lacks(units)
 
     def ceiling_wait_us(self, units: float) -> float:
         """In how long the local share of the ceiling has so many units."""
-        return (units - self.ceiling) * self.size / self.plan.ceiling_rate * S
+        return self.ceiling.wait_us(units)
 
     def charge_ceiling(self, units: float) -> None:
         """A first attempt of a request of so many units is sent."""
-        self.ceiling -= units
+        self.ceiling.take(units)
 
     def refund_ceiling(self, units: float) -> None:
         """A first attempt of so many units turned out not to have been sent."""
-        self.ceiling += units
+        self.ceiling.add(units)
 
-    def empty_ceiling(self, now: int) -> None:
+    def empty_ceiling(self, now_us: int) -> None:
         """Begin with an empty bucket: another process may have used it up."""
-        self.refill(now).ceiling = 0.0
+        self.refill(now_us)
+        self.ceiling.empty()
+
+    def cede_ceiling(self, now_us: int) -> None:
+        """A report goes to the leader, which may use the refill of the local share from now on."""
+        self.refill(now_us)
+        self.ceiling.cede(now_us)
+        self.member_slot.reported_us = now_us
 
-    def reclaim_ceded_ceiling(self, now: int) -> None:
+    def reclaim_ceded_ceiling(self, now_us: int) -> None:
         """Stop using what other gateways ceded: a successor process would not know of it."""
-        self.refill(now).ceded_by_peer.clear()
+        self.refill(now_us)
+        self.ceiling.drop_received()
 
-    # --- the open cap ---
+    # --- concurrency slots ---
 
     def attempt_began(self) -> None:
         """One more attempt of the customer is in flight."""
@@ -202,73 +225,86 @@
         self.in_flight -= 1
 
     def shares_slots(self) -> bool:
-        """Whether its open cap is too small to be split over its set."""
+        """Whether the open cap is too small to be split over the set, so that the leader grants its slots."""
         return 0 < self.plan.max_in_flight < self.size
 
-    def asks_leader(self) -> bool:
-        """Elsewhere than at home: whether each attempt needs a place from there, as long as it answers."""
-        return self.shares_slots() and self.slot_requests <= MAX_LEADER_REQUESTS
+    def needs_leader_slots(self) -> bool:
+        """Whether the slots are granted by another gateway."""
+        return self.shares_slots() and not self.is_leader
 
-    def has_slot(self, now: int) -> bool:
-        return now - self.slot_granted_us < LEADER_REPLY_TIMEOUT_US
+    def waits_for_leader(self) -> bool:
+        """Whether a member's first attempt needs a granted slot; not while the leader is silent."""
+        return self.shares_slots() and not self.member_slot.is_leader_silent()
 
-    def lacks_slot(self, now: int) -> bool:
+    def lacks_slot(self, now_us: int) -> bool:
+        """Whether the open cap permits no further first attempt."""
         if not self.plan.max_in_flight:
             return False
         if self.shares_slots() and self.is_leader:
-            return self.in_flight + self.peers_attempts(now) >= self.plan.max_in_flight
-        if self.asks_leader():
-            return not self.has_slot(now)
+            return self.slots_in_use(now_us) >= self.plan.max_in_flight
+        if self.waits_for_leader():
+            return not self.member_slot.is_usable(now_us)
         return self.in_flight >= max(1, self.plan.max_in_flight // self.size)
 
-    def peers_attempts(self, now: int, but: int = -1) -> int:
-        """At its home: the attempts that the others have out, as they told of late, or were granted since."""
-        reports = self.peers_in_flight.items()
-        reported = sum(out for peer, (out, at) in reports if peer != but and now - at < OUT_FRESH_US)
-        grants = (at for peer, given in self.granted_slots.items() if peer != but for at in given)
-        return reported + sum(now - at < OUT_FRESH_US for at in grants)
-
-    def on_peer_in_flight(self, peer: int, out: int, ended: bool, now: int) -> None:
-        """At the leader: what a peer has in flight, of which no granted slot is to be counted twice."""
-        used = max(0, out - self.peers_in_flight.get(peer, (0, 0))[0] + ended)
-        if given := [at for at in self.granted_slots.pop(peer, ()) if now - at < 2 * LEADER_REPLY_TIMEOUT_US][
-            used:
-        ]:
-            self.granted_slots[peer] = given
-        self.peers_in_flight[peer] = out, now
-
-    def next_in_slot_queue(self, now: int) -> int | None:
-        """At its home: who has waited longest for a place, if there is one and room under the ceiling."""
-        waits = self.slot_queue.items()
-        self.slot_queue = {peer: wait for peer, wait in waits if now - wait[1] < 2 * QUEUED_US}
-        if not self.slot_queue or self.in_flight + self.peers_attempts(now) >= self.plan.max_in_flight:
+    def slots_in_use(self, now_us: int, excluded_peer: int = -1) -> int:
+        """At the leader: the slots that it and the other gateways use, or were granted."""
+        return self.in_flight + self.leader_slots.in_use(now_us, excluded_peer)
+
+    def next_slot_peer(self, now_us: int) -> int | None:
+        """At the leader: the gateway to grant a slot to; None where no slot is free or no request fits."""
+        self.leader_slots.drop_abandoned(now_us)
+        if not self.leader_slots.queue or self.slots_in_use(now_us) >= self.plan.max_in_flight:
             return None
-        self.refill(now)
-        waits = self.slot_queue.items()
-        fitting = (peer for peer, (units, _) in waits if units <= SLOT_ONLY or units <= self.ceiling)
-        return next(fitting, None)
-
-    def grant(self, peer: int, now: int) -> float:
-        """At its home: a place, and the units under the ceiling that were asked for with it."""
-        units, _ = self.slot_queue.pop(peer)
-        self.granted_slots.setdefault(peer, []).append(now)
-        self.ceiling -= units if units > SLOT_ONLY else 0.0
+        self.refill(now_us)
+        return self.leader_slots.next_peer(self.ceiling.units)
+
+    def grant_slot(self, peer: int, now_us: int) -> float:
+        """At the leader: grant a queued request; returns the units of the ceiling that it asked for."""
+        units = self.leader_slots.grant(peer, now_us)
+        self.ceiling.take(ceiling_units_of(units))
         return units
 
-    def on_slot_answer(self, word: GossipMessage, now: int) -> None:
-        """Elsewhere: the home's answer to a wish for a place."""
-        self.slot_requests, self.slot_requested_us = 0, now
-        self.is_queued = word.slot_grant is SlotGrant.QUEUED
-        if word.slot_grant is SlotGrant.GRANTED:
-            self.slot_granted_us = now
-            self.ceiling += -word.requested if -word.requested > SLOT_ONLY else 0.0
-
-    def cede_ceiling(self, now: int) -> None:
-        """Elsewhere: it tells its home now, which may use its part of the ceiling's rate from then on."""
-        self.ceded_until_us, self.reported_us = self.refill(now).refilled_us + CEDED_US, now
-
-    def use_slot(self, now: int) -> None:
-        """A first attempt leaves; the home counts on it since its grant, and may be asked for the next."""
-        self.slot_granted_us, self.slot_requested_us = -NEVER, -NEVER
-        if self.shares_slots() and not self.is_leader:
-            self.reported_us = now
+    def on_slot_answer(self, answer: SlotGrant, units: float, now_us: int) -> None:
+        """The leader has queued a request for a slot, or granted the slot and so many units as requested."""
+        if answer is SlotGrant.GRANTED:
+            self.member_slot.on_granted(now_us)
+            self.ceiling.add(ceiling_units_of(units))
+        else:
+            self.member_slot.on_queued(now_us)
+
+    def use_slot(self, now_us: int) -> None:
+        """A first attempt is sent; the leader counts it since its grant, and the next may be requested."""
+        self.member_slot.on_attempt_sent()
+        if self.needs_leader_slots():
+            self.member_slot.reported_us = now_us
+
+    # --- handover ---
+
+    def snapshot(self) -> CustomerSnapshot:
+        """What is handed over of the customer."""
+        return CustomerSnapshot(
+            key=self.key,
+            refilled_us=self.refilled_us,
+            share=self.quota.local_share,
+            level=self.quota.set_level,
+            demand=self.demand.units,
+            ceiling=self.ceiling.units,
+            last_answer_us=self.last_answer_us,
+            unreported_demand=self.demand.unreported_units,
+            unreported_spend=self.quota.unreported_spend,
+        )
+
+    def restore(self, snapshot: CustomerSnapshot) -> None:
+        """Go on from the snapshot; the customer has its key and time already."""
+        self.quota.local_share = snapshot.share
+        self.quota.set_level = snapshot.level
+        self.demand.units = snapshot.demand
+        self.ceiling.units = snapshot.ceiling
+        self.last_answer_us = snapshot.last_answer_us
+        self.demand.unreported_units = snapshot.unreported_demand
+        self.quota.unreported_spend = snapshot.unreported_spend
+
+    def restore_at(self, snapshot: CustomerSnapshot, now_us: int) -> None:
+        """Go on from a predecessor's snapshot, as of now."""
+        self.restore(snapshot)
+        self.ceiling.extend_cession(now_us)
--- /dev/null
+++ b/orchidhatch/gateway/quota_leader.py
@@ -0,0 +1,101 @@
+"""The leader's side of quotas: what members report is added up and answered, and slots are granted."""
+
+from collections.abc import Callable
+
+from orchidhatch.gateway.decision_context import DecisionContext
+from orchidhatch.gateway.gossip import GossipMessage, SlotGrant
+from orchidhatch.gateway.peer_outbox import PeerOutbox
+from orchidhatch.gateway.quota import Customer
+from orchidhatch.gateway.snapshots import CustomerKey
+
+QueuesUnsent = Callable[[Customer], bool]
+
+
+class QuotaLeader:
+    """What this gateway counts, answers and grants for the customers that it leads.
+
+    `queues_unsent` says whether a request of a customer is queued here, never sent, and so needs a slot too.
+    """
+
+    def __init__(self, context: DecisionContext, outbox: PeerOutbox, queues_unsent: QueuesUnsent) -> None:
+        self.context = context
+        self.outbox = outbox
+        self.queues_unsent = queues_unsent
+        # Customers that other gateways wait for a slot of.
+        self.slot_queues: dict[CustomerKey, Customer] = {}
+
+    def answer(
+        self,
+        peer: int,
+        customer: Customer,
+        requested: float = 0.0,
+        slot_grant: SlotGrant = SlotGrant.NONE,
+    ) -> None:
+        """Send a gateway the demand and the level of the whole set; `requested` says what is answered."""
+        message = GossipMessage(
+            *customer.key,
+            is_answer=True,
+            demand=customer.demand.units,
+            spent=customer.quota.unreported_spend,
+            requested=requested,
+            level=customer.quota.set_level,
+            in_flight=customer.slots_in_use(self.context.now_us, excluded_peer=peer),
+            slot_grant=slot_grant,
+        )
+        if peer != self.context.settings.gateway_index:
+            self.outbox.add(peer, message)
+        customer.clear_unreported()
+
+    def on_report(self, customer: Customer, message: GossipMessage, sender: int) -> None:
+        """Add up what a member requested and spent, and answer a request for a grant."""
+        now_us = self.context.now_us
+        customer.demand.add_reported(message.demand)
+        customer.spend(message.spent)
+        # A message without a request follows the end of an attempt.
+        has_ended = not message.requested
+        customer.leader_slots.on_report(sender, message.in_flight, has_ended, now_us)
+        shares_slots = customer.shares_slots()
+        if shares_slots and not self.context.has_handover_peer:
+            customer.ceiling.receive(sender, now_us)
+        requests_grant = message.requested > 0
+        granted = customer.chance(message.requested) if requests_grant else 0.0
+        if shares_slots and (message.requested < 0 or granted):
+            # A request that is granted units needs a slot at once.
+            customer.leader_slots.enqueue(sender, abs(message.requested), now_us)
+        is_level_low = message.spent > 0 and customer.quota.set_level < customer.plan.burst / 2
+        if requests_grant or is_level_low:
+            self.answer(sender, customer, max(0.0, message.requested))
+        customer.spend(message.requested * granted)
+
+    def grant_slots(self, customer: Customer) -> None:
+        """Grant free slots to the members that wait longest.
+
+        Requests that are queued here are one of those that wait: by chance the slot is left to them.
+        """
+        now_us = self.context.now_us
+        slots = customer.leader_slots
+        peer = customer.next_slot_peer(now_us)
+        while peer is not None:
+            if self.queues_unsent(customer) and self.is_turn_of_own_requests(len(slots.queue)):
+                break
+            requested = customer.grant_slot(peer, now_us)
+            self.answer(peer, customer, -requested, SlotGrant.GRANTED)
+            peer = customer.next_slot_peer(now_us)
+        if slots.queue:
+            self.slot_queues[customer.key] = customer
+        else:
+            self.slot_queues.pop(customer.key, None)
+
+    def is_turn_of_own_requests(self, waiting_peers: int) -> bool:
+        """By chance, whether the requests here are the next of the gateways that wait."""
+        return self.context.random.random() * (1 + waiting_peers) < 1
+
+    def queue_slot_request(self, peer: int, customer: Customer) -> None:
+        """Answer a gateway that its request for a slot is queued, if it is."""
+        if peer in customer.leader_slots.queue:
+            self.answer(peer, customer, slot_grant=SlotGrant.QUEUED)
+
+    def grant_all_slots(self) -> None:
+        """Grant what time alone has freed: slots by the end of grants and reports, units of the ceiling."""
+        for customer in list(self.slot_queues.values()):
+            self.grant_slots(customer)
--- a/orchidhatch/gateway/quota_leaders.py
+++ b/orchidhatch/gateway/quota_leaders.py
@@ -1,18 +1,19 @@
-"""The customers here, and what goes between them and their leaders: quotas, slots, ceilings."""
+"""The customers at this gateway; messages about them go to the leader's side or the member's."""
 
 from collections.abc import Callable
 
-from orchidhatch.gateway import quota
 from orchidhatch.gateway.decision_context import DecisionContext
-from orchidhatch.gateway.gossip import GossipMessage, SlotGrant
-from orchidhatch.gateway.leader_requests import LEADER_REPLY_TIMEOUT_US, MAX_LEADER_REQUESTS
+from orchidhatch.gateway.demand_estimate import DEMAND_DECAY_US
+from orchidhatch.gateway.gossip import GossipMessage
 from orchidhatch.gateway.peer_outbox import PeerOutbox
 from orchidhatch.gateway.quota import Customer
+from orchidhatch.gateway.quota_leader import QueuesUnsent, QuotaLeader
+from orchidhatch.gateway.quota_member import QuotaMember
 from orchidhatch.gateway.snapshots import CustomerKey, HandoverSpend
-from orchidhatch.gateway.times import NEVER, S
+from orchidhatch.gateway.times import S
 
-QueuesUnsent = Callable[[Customer], bool]
-FORGET_US = 60 * S  # a customer that was quiet for so long has its burst back
+IDLE_CUSTOMER_TTL_US = 60 * S
+"""After how long without a request a customer is forgotten; its burst has refilled by then."""
 
 
 class QuotaLeaders:
@@ -22,206 +23,186 @@
     """
 
     def __init__(self, context: DecisionContext, outbox: PeerOutbox, queues_unsent: QueuesUnsent) -> None:
-        self.context, self.outbox, self.queues_unsent = context, outbox, queues_unsent
-        self.customers: dict[CustomerKey, Customer] = {}  # the one seen last at the end
-        self.slot_queues: dict[CustomerKey, Customer] = {}  # those led here that peers wait for a slot of
-        self.renewals: dict[CustomerKey, Customer] = {}  # those at home elsewhere that a place is held for
+        self.context = context
+        self.leader = QuotaLeader(context, outbox, queues_unsent)
+        self.member = QuotaMember(context, outbox)
+        # In the order in which they were last seen.
+        self.customers: dict[CustomerKey, Customer] = {}
+
+    @property
+    def slot_queues(self) -> dict[CustomerKey, Customer]:
+        """The customers led here that other gateways wait for a slot of."""
+        return self.leader.slot_queues
+
+    # --- customers ---
 
     def customer(self, key: CustomerKey) -> Customer:
-        """The customer, as of now; one that is not known begins with what the time since the start allows."""
-        known = self.customers.pop(key, None)
-        if known is None:
-            settings, now = self.context.settings, self.context.now_us
-            known = Customer(settings.plans[key.plan_index], key, settings, now)
-            known.has_idled(min(FORGET_US, now - self.context.started_us))
-        self.customers[key] = known
-        return known.refill(self.context.now_us)
+        """The customer, as of now; a new one begins with what the time since the process's start allows."""
+        customer = self.customers.pop(key, None)
+        if customer is None:
+            customer = self.new_customer(key)
+        self.customers[key] = customer
+        return customer.refill(self.context.now_us)
+
+    def new_customer(self, key: CustomerKey) -> Customer:
+        """A customer that is seen for the first time, or was forgotten."""
+        now_us = self.context.now_us
+        settings = self.context.settings
+        customer = Customer(settings.plans[key.plan_index], key, settings, now_us)
+        customer.ceiling.refill_idle(min(IDLE_CUSTOMER_TTL_US, now_us - self.context.started_us))
+        return customer
 
     def is_in_set(self, key: CustomerKey) -> bool:
-        set_ = self.context.settings
-        in_set = (set_.gateway_index - key.set_first) % set_.gateway_count < key.set_size
-        return 0 <= key.plan_index < len(set_.plans) and in_set
+        """Whether this gateway is one of the customer's set and its plan exists."""
+        settings = self.context.settings
+        position = (settings.gateway_index - key.set_first) % settings.gateway_count
+        return 0 <= key.plan_index < len(settings.plans) and position < key.set_size
 
     def change_plans(self, moved: tuple[int, ...]) -> None:
-        """Other plans hold: each customer goes on under its own, by its number now; no plan, no customer."""
-        known, self.customers = self.customers.values(), {}
-        for customer in [one for one in known if moved[one.key.plan_index] >= 0]:
-            index = moved[customer.key.plan_index]
-            customer.change_plan(self.context.settings.plans[index], index, self.context.now_us)
-            self.customers[customer.key] = customer
-        for kept in (self.slot_queues, self.renewals):
-            waiting = {one.key: one for one in kept.values() if one.key in self.customers}
-            kept.clear()
-            kept.update(waiting)
+        """Put each customer under its plan of the new settings: `moved` has the new index by the old one.
+
+        Customers whose plan is no more, with an index below zero, are forgotten.
+        """
+        plans = self.context.settings.plans
+        customers = self.customers.values()
+        self.customers = {}
+        for customer in customers:
+            plan_index = moved[customer.key.plan_index]
+            if plan_index >= 0:
+                customer.change_plan(plans[plan_index], plan_index, self.context.now_us)
+                self.customers[customer.key] = customer
+        self.update_keys(self.leader.slot_queues)
+        self.update_keys(self.member.renewals)
+
+    def update_keys(self, customers: dict[CustomerKey, Customer]) -> None:
+        """Put a table under the new keys of its customers, without those that were forgotten."""
+        remaining = [customer for customer in customers.values() if customer.key in self.customers]
+        customers.clear()
+        for customer in remaining:
+            customers[customer.key] = customer
 
     def forget_idle(self) -> None:
-        last_us = self.context.now_us - FORGET_US
-        while self.customers and next(iter(self.customers.values())).refilled_us < last_us:
-            del self.customers[next(iter(self.customers))]
+        """Forget the customers that were not seen for IDLE_CUSTOMER_TTL_US."""
+        oldest_us = self.context.now_us - IDLE_CUSTOMER_TTL_US
+        while self.customers:
+            key, customer = next(iter(self.customers.items()))
+            if customer.refilled_us >= oldest_us:
+                return
+            del self.customers[key]
+
+    # --- admission under the quota ---
 
     def spend(self, customer: Customer, units: float) -> None:
+        """Take the units of a request here, and notify the handover peer of it."""
         customer.take(units)
         self.context.send_to_handover_peer(HandoverSpend(customer.key, units))
 
     def chance(self, customer: Customer, units: float) -> float | None:
-        """The chance to be let in, by what is known here; None where the home is to be asked."""
-        now, is_leader = self.context.now_us, customer.is_leader
-        fresh = customer.has_fresh_answer(now)
-        customer.unreported_demand += units
-        if is_leader or not fresh:  # else it is the whole set's, which this request is part of
-            customer.demand += units
-        asked = customer.requests_per_s * quota.DEMAND_US / S
-        heard = fresh and self.context.random.random() * customer.demand > asked
-        if customer.share >= units:
+        """The probability of admission by what is known here; None where a grant is to be requested."""
+        now_us = self.context.now_us
+        is_leader = customer.is_leader
+        has_fresh_answer = customer.has_fresh_answer(now_us)
+        # The demand of a fresh answer is the whole set's, which this request is part of.
+        customer.demand.add_local(units, is_included=has_fresh_answer and not is_leader)
+        uses_answer = has_fresh_answer and self.exceeds_request_rate(customer)
+        if customer.has_local_share(units):
             return 1.0
-        if not is_leader and customer.is_pooled(units) and customer.is_dry(units, now):
+        needs_grant = not is_leader and customer.quota.is_too_large_for_share(units)
+        if needs_grant and customer.cannot_have_refilled(units, now_us):
             return 0.0
-        if is_leader or heard or not customer.plan.rate or now < customer.next_request_us:
+        is_decided_here = is_leader or uses_answer or not customer.plan.rate
+        if is_decided_here or customer.backoff.is_paused(now_us):
             return customer.chance(units, known=is_leader)
         return None
 
-    # --- words ---
+    def exceeds_request_rate(self, customer: Customer) -> bool:
+        """By chance, whether a request is one more than the leader can receive at the customer's demand."""
+        requests = customer.max_requests_per_s * DEMAND_DECAY_US / S
+        return self.context.random.random() * customer.demand.units > requests
 
     def report_demand(self, customer: Customer) -> None:
-        """Tell the customer's leader what was requested and spent here since the last message."""
-        self.send(customer.leader, customer, 0.0)
+        """Send the customer's leader what was requested and spent here since the last message."""
+        self.member.report(customer)
 
     def request_grant(self, customer: Customer, units: float) -> None:
         """Ask the customer's leader whether a request of so many units may be admitted."""
-        self.send(customer.leader, customer, units)
-
-    def send(self, peer: int, customer: Customer, asked: float, place: SlotGrant = SlotGrant.NONE) -> None:
-        """A word to the home of what was asked and spent, or the home's answer with what it knows."""
-        now, answer = self.context.now_us, customer.is_leader
-        demand = customer.demand if answer else customer.unreported_demand
-        out = customer.in_flight + customer.peers_attempts(now, but=peer) if answer else customer.in_flight
-        spent = customer.unreported_spend
-        word = GossipMessage(*customer.key, answer, demand, spent, asked, customer.level, out, place)
-        if customer.shares_slots() and not answer:
-            customer.cede_ceiling(now)
-        if peer != self.context.settings.gateway_index:
-            self.outbox.add(peer, word)
-        customer.unreported_demand = customer.unreported_spend = 0.0
+        self.member.report(customer, units)
+
+    # --- messages ---
 
     def on_messages(
-        self, sender: int, words: tuple[GossipMessage, ...], answered: Callable[[Customer | None], None]
+        self,
+        sender: int,
+        messages: tuple[GossipMessage, ...],
+        answered: Callable[[Customer | None], None],
     ) -> None:
-        """Add up what the set requests and spends, and answer; `answered` gets whose request it is."""
-        homed: dict[CustomerKey, Customer] = {}
-        # A place comes before the answer that lets in who may use it.
-        for word in sorted(words, key=lambda word: not word.slot_grant):
-            key = CustomerKey(word.customer, word.plan_index, word.set_first, word.set_size)
+        """Take the messages of a gateway; `answered` gets the customer whose request for a grant is answered.
+
+        Slots are granted once all messages are read, as a report of attempts may follow a request for a slot.
+        """
+        reported: dict[CustomerKey, Customer] = {}
+        # A slot comes before the answer that admits the request that may use it.
+        for message in sorted(messages, key=lambda message: not message.slot_grant):
+            key = CustomerKey(message.customer, message.plan_index, message.set_first, message.set_size)
             if not self.is_in_set(key):
                 continue
-            new, customer = key not in self.customers, self.customer(key)
-            if word.is_answer:
-                self.on_leader_answer(customer, word)
-                answered(customer if word.requested > 0 else None)
+            is_new = key not in self.customers
+            customer = self.customer(key)
+            if message.is_answer:
+                self.member.on_answer(customer, message)
+                answered(customer if message.requested > 0 else None)
             elif customer.is_leader:
-                customer.level = min(customer.level, word.level) if new else customer.level
-                self.on_member_report(customer, word, sender)
-                homed[key] = customer
-        for customer in homed.values():  # once all is heard: what is out may come after a wish for more
-            self.grant_slots(customer)
-            if sender in customer.slot_queue:
-                self.send(sender, customer, 0.0, SlotGrant.QUEUED)
-
-    def on_leader_answer(self, customer: Customer, word: GossipMessage) -> None:
-        now = self.context.now_us
-        customer.last_answer_us, customer.demand, customer.level = now, word.demand, word.level
-        customer.next_request_us = customer.backoff_us = 0
-        if word.slot_grant:
-            customer.on_slot_answer(word, now)
-        if word.slot_grant is SlotGrant.GRANTED:
-            self.renewals[customer.key] = customer
-        customer.share = min(customer.share, max(0.0, word.level / customer.size))
-
-    def on_member_report(self, customer: Customer, word: GossipMessage, sender: int) -> None:
-        now, shares = self.context.now_us, customer.shares_slots()
-        customer.demand += word.demand
-        customer.spend(word.spent)
-        # A message without a request tells of an end.
-        customer.on_peer_in_flight(sender, word.in_flight, not word.requested, now)
-        if shares and not self.context.has_handover_peer:
-            customer.ceded_by_peer[sender] = now + quota.COUNTED_US
-        granted = customer.chance(word.requested) if word.requested > 0 else 0.0
-        if shares and (word.requested < 0 or granted):  # who is let in needs a place at once
-            customer.slot_queue[sender] = abs(word.requested), now
-        if word.requested > 0 or (word.spent > 0 and customer.level < customer.plan.burst / 2):
-            self.send(sender, customer, max(0.0, word.requested))
-        customer.spend(word.requested * granted)
-
-    # --- places under an open cap, and what goes with them under a ceiling ---
+                if is_new:
+                    customer.quota.set_level = min(customer.quota.set_level, message.level)
+                self.leader.on_report(customer, message, sender)
+                reported[key] = customer
+        for customer in reported.values():
+            self.leader.grant_slots(customer)
+            self.leader.queue_slot_request(sender, customer)
+
+    # --- concurrency slots and the rate ceiling ---
 
     def needs_slot(self, customer: Customer, units: float) -> bool:
-        """Whether a request must wait for open cap or ceiling; a place is asked for at the home."""
-        now = self.context.now_us
-        if not customer.is_leader and customer.shares_slots():
-            self.request_slot(customer, units)
-            if customer.asks_leader() and not customer.has_slot(now):
+        """Whether a first attempt waits for the open cap or the rate ceiling; requests a slot if needed."""
+        now_us = self.context.now_us
+        if customer.needs_leader_slots():
+            if customer.member_slot.is_request_due(now_us):
+                ceiling_units = units if self.at_ceiling(customer, units) else 0.0
+                self.member.request_slot(customer, ceiling_units)
+            if customer.waits_for_leader() and not customer.member_slot.is_usable(now_us):
                 return True
-        return self.at_ceiling(customer, units) or customer.lacks_slot(now)
+        return self.at_ceiling(customer, units) or customer.lacks_slot(now_us)
 
     def at_ceiling(self, customer: Customer, units: float) -> bool:
-        limited = customer.plan.ceiling_rate > 0
-        now, unknown = self.context.now_us, self.context.peer_is_unknown
-        return limited and (unknown or customer.refill(now).ceiling < units)
-
-    def request_slot(self, customer: Customer, units: float) -> None:
-        now, silent = self.context.now_us, customer.slot_requests > MAX_LEADER_REQUESTS
-        if customer.has_slot(now) and not silent:
-            return
-        patience = quota.QUEUED_US if customer.is_queued or silent else LEADER_REPLY_TIMEOUT_US
-        if now - customer.slot_requested_us >= patience:
-            customer.slot_requested_us, customer.is_queued = now, False
-            customer.slot_requests += 1
-            short = units if self.at_ceiling(customer, units) else 0.0
-            self.send(customer.leader, customer, -max(quota.SLOT_ONLY, short))
+        """Whether a first attempt has to wait for the rate ceiling.
+
+        It waits too while an unknown process may use up this gateway's share.
+        """
+        if customer.plan.ceiling_rate <= 0:
+            return False
+        if self.context.peer_is_unknown:
+            return True
+        return customer.refill(self.context.now_us).lacks_ceiling_units(units)
 
     def use_slot(self, customer: Customer) -> None:
-        customer.use_slot(self.context.now_us)
-        if customer.shares_slots() and not customer.is_leader:
-            self.renewals[customer.key] = customer
+        """A first attempt of the customer is sent."""
+        self.member.use_slot(customer)
 
     def renew(self) -> None:
-        """An attempt may outlast the report of it, and a granted slot may be of no use any more."""
-        now = self.context.now_us
-        for key, customer in list(self.renewals.items()):
-            unused = customer.slot_granted_us > -NEVER and not customer.has_slot(now)
-            if unused or (customer.in_flight and now - customer.reported_us >= quota.RENEW_US):
-                customer.slot_granted_us = -NEVER if unused else customer.slot_granted_us
-                self.report_in_flight(customer)
-            if not customer.in_flight and customer.slot_granted_us == -NEVER:
-                del self.renewals[key]
+        """Report attempts again that outlast the last report, and give back unused slots."""
+        self.member.renew(self.report_in_flight)
 
     def dues(self) -> list[float]:
-        """When a word of what is out is to be renewed, or a place given back."""
-        return [
-            known.reported_us + quota.RENEW_US
-            if known.slot_granted_us == -NEVER
-            else known.slot_granted_us + LEADER_REPLY_TIMEOUT_US
-            for known in self.renewals.values()
-        ]
+        """When `renew` is to be called."""
+        return self.member.dues()
 
     def report_in_flight(self, customer: Customer) -> None:
-        if customer.shares_slots() and not customer.is_leader:
-            self.send(customer.leader, customer, 0.0)
+        """An attempt of the customer has ended: notify its leader, or grant what is free here."""
+        if customer.needs_leader_slots():
+            self.member.report(customer)
         elif customer.shares_slots():
-            self.grant_slots(customer)
+            self.leader.grant_slots(customer)
 
     def grant_all_slots(self) -> None:
-        """Time alone may free a place, or make room under a ceiling."""
-        for customer in list(self.slot_queues.values()):
-            self.grant_slots(customer)
-
-    def grant_slots(self, customer: Customer) -> None:
-        """At its home: what is free goes to those that wait longest; those held here are one of them."""
-        while (peer := customer.next_in_slot_queue(self.context.now_us)) is not None:
-            here = self.queues_unsent(customer)
-            if here and self.context.random.random() * (1 + len(customer.slot_queue)) < 1:
-                break
-            self.send(peer, customer, -customer.grant(peer, self.context.now_us), SlotGrant.GRANTED)
-        if customer.slot_queue:
-            self.slot_queues[customer.key] = customer
-        else:
-            self.slot_queues.pop(customer.key, None)
+        """Grant the slots that time alone has freed."""
+        self.leader.grant_all_slots()
--- a/tests/gateway/test_policy_change.py
+++ b/tests/gateway/test_policy_change.py
@@ -33,13 +33,16 @@
             world.ask(f"r{number}")
         [customer] = world.gateway.quotas.customers.values()
         before = customer.refill(world.now)
-        was = before.plan, before.level, before.share, before.in_flight
+        was = before.plan, before.quota.set_level, before.quota.local_share, before.in_flight
         world.tell(new_policy(plan))
         after = next(iter(world.gateway.quotas.customers.values()))
         assert after.plan == plan and after.in_flight == was[3]
         share = plan.burst / was[0].burst if was[0].burst else 0.0
-        assert after.level == pytest.approx(was[1] * share) and after.share <= plan.burst + 1e-9
-        assert after.ceiling <= plan.ceiling_burst + 1e-9
+        assert (
+            after.quota.set_level == pytest.approx(was[1] * share)
+            and after.quota.local_share <= plan.burst + 1e-9
+        )
+        assert after.ceiling.units <= plan.ceiling_burst + 1e-9
         for name, attempt in list(world.out):  # whatever was let in ends by what held then
             world.answer(name, attempt=attempt)
     assert after.in_flight == 0
@@ -56,12 +59,16 @@
     ended = dict(world.gateway.counters.ended)
     assert ended == {"policy": 1, "banned": 1}
     [customer] = [one for one in world.gateway.quotas.customers.values() if one.is_leader][:1]
-    demand = customer.demand
+    demand = customer.demand.units
     word = GossipMessage(*customer.key, demand=50.0, spent=50.0)
-    for mark, level in ((2, customer.level), (0, customer.level), (9, customer.level - 50)):
+    for mark, level in (
+        (2, customer.quota.set_level),
+        (0, customer.quota.set_level),
+        (9, customer.quota.set_level - 50),
+    ):
         world.tell(PeerMessage(1, (word,), policy_mark=mark))
-        assert customer.level == pytest.approx(max(level, -customer.plan.rate / 2), abs=0.5)
-    assert customer.demand > demand + 40
+        assert customer.quota.set_level == pytest.approx(max(level, -customer.plan.rate / 2), abs=0.5)
+    assert customer.demand.units > demand + 40
     world.tell(new_policy(PLAN, moved=(-1, -1)))
     assert not world.gateway.quotas.customers
 
--- a/tests/gateway/test_quota.py
+++ b/tests/gateway/test_quota.py
@@ -75,7 +75,7 @@
             for customer in world.gateway.quotas.customers.values()
             if customer.is_leader
         ]
-    level = homes[0].level
+    level = homes[0].quota.set_level
     assert level > 6  # of 10, at nine tenths of the rate
 
 
@@ -88,7 +88,7 @@
             gates.ask(n, f"r{gates.worlds[n].now}")
         gates.run(4 * S)
     levels = [
-        customer.level
+        customer.quota.set_level
         for world in gates.worlds
         for customer in world.gateway.quotas.customers.values()
         if customer.leader == world.gateway.settings.gateway_index
@@ -203,7 +203,7 @@
     key = (0, 0, 0, 2)  # at home here
     world.tell(PeerMessage(1, (GossipMessage(*key, level=0.0, in_flight=1),)))
     (customer,) = world.gateway.quotas.customers.values()
-    assert customer.peers_attempts(world.now) == 1 and customer.level == 0
+    assert customer.leader_slots.in_use(world.now) == 1 and customer.quota.set_level == 0
     assert not of(SendGossip, [action for _, action in world.log])
 
 
@@ -228,7 +228,7 @@
     world = World()
     for n in range(30):
         world.ask(f"r{n}", time_left_us=100 * MS)
-    assert next(iter(world.gateway.quotas.customers.values())).level == 20
+    assert next(iter(world.gateway.quotas.customers.values())).quota.set_level == 20
 
 
 def test_what_meets_the_open_cap_waits_for_an_attempt_to_end() -> None:
@@ -245,7 +245,7 @@
     world.ask("a")
     server, sent, _ = world.out.pop(("a", 0))
     world.tell(AttemptEnded("a", True, 0, server, AttemptResult.OK, world.now - sent, actual_units=4.0))
-    assert next(iter(world.gateway.quotas.customers.values())).level == pytest.approx(16)
+    assert next(iter(world.gateway.quotas.customers.values())).quota.set_level == pytest.approx(16)
 
 
 def test_ceiling_starts_empty_and_is_split() -> None:
@@ -322,7 +322,7 @@
     """Thirty gateways that all let in on the same level would spend it thirty times over."""
     world = World(replace(SETTINGS, plans=(Plan(rate=10.0, burst=20.0),), gateway_count=40))
     customer = world.gateway.quotas.customer(CustomerKey(1, 0, 0, 30))
-    customer.level, customer.demand = 3.0, 20.0
+    customer.quota.set_level, customer.demand.units = 3.0, 20.0
     assert customer.chance(1.0) == 1.0  # the home's word holds for the one that it was given to
     assert customer.chance(1.0, known=False) == 1.0  # it has heard none: one request is its own in any case
     customer.take(1.0)
@@ -332,17 +332,17 @@
     world.run(S)
     assert customer.refill(world.now).chance(1.0, known=False) == 1.0
     # Asks leave nothing of a rate of ten at 25 a second, so that an older word is of use above the kept part.
-    customer.last_answer_us, customer.demand, customer.level = world.now, 20.0, 20.0
+    customer.last_answer_us, customer.demand.units, customer.quota.set_level = world.now, 20.0, 20.0
     spare = (20.0 - 20.0 / 4) / (30 / 25)
     assert customer.chance(1.0, known=False) == pytest.approx(spare * 0.5 / 20.0)
-    customer.level = 5.0
+    customer.quota.set_level = 5.0
     assert customer.chance(1.0, known=False) == 0.0
-    customer.level = 0.9
+    customer.quota.set_level = 0.9
     assert customer.chance(1.0) == 0.0
     few = world.gateway.quotas.customer(
         CustomerKey(1, 0, 0, 3)
     )  # its parts hold requests: the rule is as it was
-    few.level, few.demand = 0.9, 20.0
+    few.quota.set_level, few.demand.units = 0.9, 20.0
     assert few.chance(1.0, known=False) == few.chance(1.0) == pytest.approx((0.9 + 10.0 * 0.5) / 20.0)
 
 
@@ -367,7 +367,7 @@
     world = World(replace(SETTINGS, plans=(Plan(rate=0.5, burst=2.0),), gateway_count=40, gateway_index=5))
     customer = world.gateway.quotas.customer(CustomerKey(zlib.crc32(b"c"), 0, 0, 40))
     assert customer.leader != 5
-    customer.last_answer_us, customer.level = world.now, 0.2
+    customer.last_answer_us, customer.quota.set_level = world.now, 0.2
     world.now += S  # 0.7 of a request
     assert of(Reject, world.ask("early", set_size=40)) and not of(SendGossip, world.run(MS))
     world.now += S  # 1.2
--- a/tests/gateway/test_retries.py
+++ b/tests/gateway/test_retries.py
@@ -114,7 +114,7 @@
     assert not advice(world.ask("b"))
     job = world.gateway.requests["b"]
     world.gateway.overload.n_past = None  # nobody answers here, and the cap had engaged
-    job.customer.demand, job.customer.level = 1.0, 0.4
+    job.customer.demand.units, job.customer.quota.set_level = 1.0, 0.4
     waits = [world.gateway.retries.retry_after_us(job, "quota") for _ in range(20)]
     assert min(waits) >= 300 * MS and max(waits) <= 600 * MS  # 0.6 of a unit at 2 a second
 
@@ -126,7 +126,7 @@
     gateway = world.gateway
     world.ask("a")
     job = gateway.requests["a"]
-    job.customer.ceiling, job.servers = 0.5, []
+    job.customer.ceiling.units, job.servers = 0.5, []
     waits = {gateway.retries.retry_after_us(job, "aim") for _ in range(20)}
     assert len(waits) > 10 and min(waits) >= 25 * MS and max(waits) <= 50 * MS  # 0.5 of a unit at 20 a second
 
--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -249,7 +249,7 @@
         while not pool.waiting:
             await asyncio.sleep(0)
         (customer,) = gateway.core.quotas.customers.values()
-        assert customer.level < 3
+        assert customer.quota.set_level < 3
         connect = pool.connecting
         for connection in list(gateway.clients.connections):
             connection.connection_lost(None)  # before the one to the backend is told to be up
@@ -257,7 +257,9 @@
         while not pool.idle:
             await asyncio.sleep(0)
         assert not backend.commands and not gateway.core.requests
-        assert customer.level == pytest.approx(4, abs=0.2) and customer.in_flight == 0  # given back, once
+        assert (
+            customer.quota.set_level == pytest.approx(4, abs=0.2) and customer.in_flight == 0
+        )  # given back, once
 
 
 @pytest.mark.parametrize("level", [15.0, 5.0])
@@ -272,7 +274,7 @@
     word = GossipMessage(*customer.key, True, 10.0, 0.0, 10.0, level, 0, SlotGrant.NONE)
     for _ in range(2):
         world.tell(PeerMessage(customer.leader, (word,), ()))
-    assert customer.unreported_spend == (-10.0 if level >= 10 else 0.0)
+    assert customer.quota.unreported_spend == (-10.0 if level >= 10 else 0.0)
     assert (
         not world.gateway.awaiting_grant and not world.gateway.requests and not of(SendAttempt, world.run(S))
     )
--- a/tests/proxy/test_handover.py
+++ b/tests/proxy/test_handover.py
@@ -83,7 +83,7 @@
     for word in of(HandoverSpend, world.ask("a", units=20.0)):
         later.tell(word)
     (customer,) = later.gateway.quotas.customers.values()
-    assert (customer.share, customer.level) == (0.0, 0.0)
+    assert (customer.quota.local_share, customer.quota.set_level) == (0.0, 0.0)
 
 
 def test_nothing_counts_against_a_ceiling_that_an_unheard_process_may_use_up() -> None:
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -20,8 +20,6 @@
         "gateway/membership.py",
         "gateway/overload.py",
         "gateway/peer_outbox.py",
-        "gateway/quota.py",
-        "gateway/quota_leaders.py",
         "gateway/retries.py",
         "gateway/server_index.py",
         "gateway/simulator.py",
