--- a/orchidhatch/gateway/gossip_codec.py
+++ b/orchidhatch/gateway/gossip_codec.py
@@ -12,19 +12,26 @@
 
 HEAD = 0xA0
 HEAD_WITH_MARK = 0xB0
-KIND_BITS = 0xF0  # of the head; the others count the messages
+
+KIND_BITS = 0xF0
+"""The bits of the head that tell the two kinds; the others count the messages."""
+
 HEAD_BYTES = 2
 DATAGRAM_BYTES = 256
 MESSAGE = struct.Struct("!IBHHBhhhhB")
 OBSERVATION = struct.Struct("!HBB")
-CLASSES_LIMIT = 128  # that an observation can name
+
+CLASSES_LIMIT = 128
+"""The request classes that an observation can name."""
+
 AMOUNT_STEPS = 50
-AMOUNT_RANGE = (-32768, 32767)
+MIN_AMOUNT_STEPS = -32768
+MAX_AMOUNT_STEPS = 32767
 IN_FLIGHT_LIMIT = 255
 LATENCY_STEPS = 255
-SLOT_GRANTS = frozenset(
-    SlotGrant
-)  # an earlier version sends none, and takes an answer with one for an answer
+
+SLOT_GRANTS = frozenset(SlotGrant)
+"""The slot grants that this version knows; the first version sends none, and ignores one."""
 
 
 def pack_message(
@@ -36,11 +43,15 @@
     """
     packed = [pack_gossip(message) for message in messages]
     per_datagram = (DATAGRAM_BYTES - HEAD_BYTES) // MESSAGE.size
-    parts = [packed[start : start + per_datagram] for start in range(0, len(packed), per_datagram)]
-    datagrams = [head_of(len(part), policy_mark) + b"".join(part) for part in parts]
-    left = (DATAGRAM_BYTES - len(datagrams[-1])) // OBSERVATION.size
-    seen = [pack_observation(one) for one in observations if one.class_index < CLASSES_LIMIT]
-    datagrams[-1] += b"".join(seen[:left])
+    chunks = [packed[start : start + per_datagram] for start in range(0, len(packed), per_datagram)]
+    datagrams = [head_of(len(chunk), policy_mark) + b"".join(chunk) for chunk in chunks]
+    capacity = (DATAGRAM_BYTES - len(datagrams[-1])) // OBSERVATION.size
+    packed_observations = [
+        pack_observation(observation)
+        for observation in observations
+        if observation.class_index < CLASSES_LIMIT
+    ]
+    datagrams[-1] += b"".join(packed_observations[:capacity])
     return datagrams
 
 
@@ -49,17 +60,23 @@
     return bytes([HEAD_WITH_MARK | count, policy_mark] if policy_mark else [HEAD | count])
 
 
+def amount_steps(units: float) -> int:
+    """An amount as it goes over the wire; one beyond its range is cut to it."""
+    return max(MIN_AMOUNT_STEPS, min(MAX_AMOUNT_STEPS, round(units * AMOUNT_STEPS)))
+
+
 def pack_gossip(message: GossipMessage) -> bytes:
-    """One message; amounts beyond the range of the wire are cut to it."""
-    least, most = AMOUNT_RANGE
-    amounts = (message.demand, message.spent, message.requested, message.level)
+    """One message: the kind of message and the slot grant share a byte."""
     return MESSAGE.pack(
         message.customer,
         message.plan_index,
         message.set_first,
         message.set_size,
         message.is_answer | message.slot_grant << 1,
-        *(max(least, min(most, round(amount * AMOUNT_STEPS))) for amount in amounts),
+        amount_steps(message.demand),
+        amount_steps(message.spent),
+        amount_steps(message.requested),
+        amount_steps(message.level),
         max(0, min(IN_FLIGHT_LIMIT, message.in_flight)),
     )
 
@@ -83,7 +100,8 @@
     if mark_of(data):
         data = bytes([data[0] ^ HEAD_WITH_MARK ^ HEAD]) + data[2:]
     end = 1 + (data[0] ^ HEAD) * MESSAGE.size if data else 0
-    if not 1 < end <= len(data) <= DATAGRAM_BYTES or (len(data) - end) % OBSERVATION.size:
+    holds_messages = 1 < end <= len(data) <= DATAGRAM_BYTES
+    if not holds_messages or (len(data) - end) % OBSERVATION.size:
         return (), ()
     messages = tuple(unpack_gossip(*values) for values in MESSAGE.iter_unpack(data[1:end]))
     observations = tuple(
@@ -98,7 +116,7 @@
     plan_index: int,
     set_first: int,
     set_size: int,
-    answer: int,
+    kind: int,
     demand: int,
     spent: int,
     requested: int,
@@ -106,16 +124,17 @@
     in_flight: int,
 ) -> GossipMessage:
     """A message from the values of its struct, in their order; a grant that is not known is none."""
+    slot_grant = kind >> 1
     return GossipMessage(
         customer,
         plan_index,
         set_first,
         set_size,
-        bool(answer & 1),
+        bool(kind & 1),
         demand / AMOUNT_STEPS,
         spent / AMOUNT_STEPS,
         requested / AMOUNT_STEPS,
         level / AMOUNT_STEPS,
         in_flight,
-        SlotGrant(answer >> 1) if answer >> 1 in SLOT_GRANTS else SlotGrant.NONE,
+        SlotGrant(slot_grant) if slot_grant in SLOT_GRANTS else SlotGrant.NONE,
     )
--- a/orchidhatch/gateway/peer_outbox.py
+++ b/orchidhatch/gateway/peer_outbox.py
@@ -1,4 +1,4 @@
-"""Messages to the other gateways: what waits for each peer, spaced by what all can take in."""
+"""The outbox of messages to the other gateways: a bounded queue for each peer, with paced sends."""
 
 import itertools
 from collections import Counter, deque
@@ -10,72 +10,86 @@
 from orchidhatch.gateway.leader_requests import LEADER_REPLY_TIMEOUT_US
 from orchidhatch.gateway.times import S
 
-OBSERVATIONS_LIMIT = (
-    16  # attempts that a message may tell of: fewer than leave between two messages to a peer
-)
-MESSAGES_LIMIT = (
-    60  # that wait for one peer: five messages full of them, more than any space lets come together
-)
-BURST_MESSAGES = (
-    3  # messages that may leave ahead of their space: an ask is to be answered within LEADER_REPLY_TIMEOUT_US
-)
+OBSERVATIONS_LIMIT = 16
+"""The attempt observations that are kept for the peers: the newest."""
+
+MESSAGES_LIMIT = 60
+"""The gossip messages that may wait for one peer; they fill five datagrams."""
+
+BURST_MESSAGES = 3
+"""The sends to one peer that may follow each other without spacing, as a request is answered in time."""
 
 
 class PeerOutbox:
-    """What is to be told, and of the last attempts that ended here, how; by peer, how many of them were told.
+    """Gossip messages that wait for each peer, and the observations of attempts that ended here.
 
-    Each gateway of many sees each server too rarely to learn of a bad one alone.
+    `waiting` holds the messages by peer, `since` when the first of them was added, `dropped` how many were
+    dropped because too many waited. `tally` counts messages and requests by the names of
+    `metrics.GOSSIP_COUNTS`. Each gateway of many sends each server too few attempts to detect an outlier
+    alone, so the peers get its observations.
     """
 
     def __init__(self, context: DecisionContext) -> None:
-        self.context, set_ = context, context.settings
-        self.waiting: dict[int, list[GossipMessage]] = {}  # by peer
-        self.since: dict[int, int] = {}  # by peer, when the first word that waits for it came
+        settings = context.settings
+        self.context = context
+        self.waiting: dict[int, list[GossipMessage]] = {}
+        self.since: dict[int, int] = {}
         self.dropped = 0
-        self.next_send_us: dict[int, int] = {}  # by peer, when the next message to it would keep its space
-        self.spacing_us = min(
-            LEADER_REPLY_TIMEOUT_US, 2 * S * (set_.gateway_count - 1) / max(1, set_.peer_messages_per_s)
-        )
-        self.ahead_us = round((BURST_MESSAGES - 1) * self.spacing_us)  # by so much it may leave ahead of it
+        self.tally: Counter[str] = Counter()
+        # By peer, when its next send keeps the spacing; a burst is ahead of that by at most `burst_us`.
+        self.next_send_us: dict[int, float] = {}
+        fair_spacing_us = 2 * S * (settings.gateway_count - 1) / max(1, settings.peer_messages_per_s)
+        self.spacing_us = min(LEADER_REPLY_TIMEOUT_US, fair_spacing_us)
+        self.burst_us = round((BURST_MESSAGES - 1) * self.spacing_us)
+        # The last observations with the times of their ends; by peer, how many of all it has been sent.
         self.observations: deque[tuple[int, AttemptObservation]] = deque(maxlen=OBSERVATIONS_LIMIT)
-        self.observed_count, self.sent_count = 0, dict[int, int]()
-        self.tally: Counter[str] = Counter()  # how it went with the peers, as report.FATES
+        self.observed_count = 0
+        self.sent_count: dict[int, int] = {}
 
-    def add(self, peer: int, word: GossipMessage) -> None:
-        words = self.waiting.setdefault(peer, [])
+    def add(self, peer: int, message: GossipMessage) -> None:
+        """Queue a message for a peer; where too many wait, the oldest is dropped."""
+        messages = self.waiting.setdefault(peer, [])
         self.since.setdefault(peer, self.context.now_us)
-        if len(words) == MESSAGES_LIMIT:  # the oldest is no news
-            del words[0]
+        if len(messages) == MESSAGES_LIMIT:
+            del messages[0]
             self.dropped += 1
-        words.append(word)
+        messages.append(message)
 
     def dues(self) -> list[float]:
-        """When the next message may leave to each peer that words wait for."""
-        return [self.next_send_us.get(peer, 0) - self.ahead_us for peer in self.waiting]
+        """When the next send to each peer that messages wait for is permitted."""
+        return [self.next_send_us.get(peer, 0) - self.burst_us for peer in self.waiting]
 
     def send(self) -> None:
-        """Send what may leave now; on average all peers together send no more than one can take in."""
-        now = self.context.now_us
-        latest = now + self.ahead_us
-        for peer in [peer for peer in self.waiting if self.next_send_us.get(peer, 0) <= latest]:
-            self.next_send_us[peer] = max(now, self.next_send_us.get(peer, 0)) + self.spacing_us
-            self.tally["told"] += 1
-            waited_us = now - self.since.pop(peer)
-            self.context.actions.append(
-                SendGossip(peer, tuple(self.waiting.pop(peer)), self.unsent_observations(peer), waited_us)
-            )
-
-    def add_observation(self, sighting: AttemptObservation) -> None:
-        self.observations.append((self.context.now_us, sighting))
+        """Send what the spacing permits now.
+
+        On average all peers of a gateway together send it no more than it can receive.
+        """
+        latest_us = self.context.now_us + self.burst_us
+        permitted = [peer for peer in self.waiting if self.next_send_us.get(peer, 0) <= latest_us]
+        for peer in permitted:
+            self.send_to(peer)
+
+    def send_to(self, peer: int) -> None:
+        """Send a peer all that waits for it."""
+        now_us = self.context.now_us
+        self.next_send_us[peer] = max(now_us, self.next_send_us.get(peer, 0)) + self.spacing_us
+        self.tally["told"] += 1
+        waited_us = now_us - self.since.pop(peer)
+        messages = tuple(self.waiting.pop(peer))
+        self.context.actions.append(SendGossip(peer, messages, self.unsent_observations(peer), waited_us))
+
+    def add_observation(self, observation: AttemptObservation) -> None:
+        """Keep the observation of an attempt that ended now, and drop the oldest of too many."""
+        self.observations.append((self.context.now_us, observation))
         self.observed_count += 1
 
     def unsent_observations(self, peer: int) -> tuple[AttemptObservation, ...]:
-        """What the peer has not been told; past the longest period it is no news."""
-        new = self.observed_count - self.sent_count.get(peer, 0)
+        """The observations that a peer has not been sent, up to the age of the longest control period."""
+        unsent_count = self.observed_count - self.sent_count.get(peer, 0)
         self.sent_count[peer] = self.observed_count
-        first = max(0, len(self.observations) - new)
+        first = max(0, len(self.observations) - unsent_count)
         return tuple(
-            seen
-            for at, seen in itertools.islice(self.observations, first, None)
-            if self.context.now_us - at < MOST_PERIODS * CC_PERIOD_US
+            observation
+            for ended_us, observation in itertools.islice(self.observations, first, None)
+            if self.context.now_us - ended_us < MOST_PERIODS * CC_PERIOD_US
         )
--- a/orchidhatch/gateway/quota.py
+++ b/orchidhatch/gateway/quota.py
@@ -195,7 +195,7 @@
         self.ceiling.take(units)
 
     def refund_ceiling(self, units: float) -> None:
-        """A first attempt of so many units turned out not to have been sent."""
+        """A first attempt of so many units was not sent."""
         self.ceiling.add(units)
 
     def empty_ceiling(self, now_us: int) -> None:
--- a/orchidhatch/gateway/quota_leader.py
+++ b/orchidhatch/gateway/quota_leader.py
@@ -70,7 +70,7 @@
     def grant_slots(self, customer: Customer) -> None:
         """Grant free slots to the members that wait longest.
 
-        Requests that are queued here are one of those that wait: by chance the slot is left to them.
+        Requests that are queued here count as one more member: at random, a slot is left to them.
         """
         now_us = self.context.now_us
         slots = customer.leader_slots
@@ -87,7 +87,7 @@
             self.slot_queues.pop(customer.key, None)
 
     def is_turn_of_own_requests(self, waiting_peers: int) -> bool:
-        """By chance, whether the requests here are the next of the gateways that wait."""
+        """Whether a free slot is left to the requests queued here, at random among all that wait."""
         return self.context.random.random() * (1 + waiting_peers) < 1
 
     def queue_slot_request(self, peer: int, customer: Customer) -> None:
--- a/orchidhatch/gateway/quota_leaders.py
+++ b/orchidhatch/gateway/quota_leaders.py
@@ -116,7 +116,7 @@
         return None
 
     def exceeds_request_rate(self, customer: Customer) -> bool:
-        """By chance, whether a request is one more than the leader can receive at the customer's demand."""
+        """Whether a request is one that the leader cannot receive at the customer's demand, at random."""
         requests = customer.max_requests_per_s * DEMAND_DECAY_US / S
         return self.context.random.random() * customer.demand.units > requests
 
@@ -197,7 +197,7 @@
         return self.member.dues()
 
     def report_in_flight(self, customer: Customer) -> None:
-        """An attempt of the customer has ended: notify its leader, or grant what is free here."""
+        """An attempt of the customer has ended: notify its leader, or grant free slots here."""
         if customer.needs_leader_slots():
             self.member.report(customer)
         elif customer.shares_slots():
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -19,7 +19,6 @@
         "gateway/load_balancing.py",
         "gateway/membership.py",
         "gateway/overload.py",
-        "gateway/peer_outbox.py",
         "gateway/retries.py",
         "gateway/server_index.py",
         "gateway/simulator.py",
