--- a/tests/gateway/test_peer_outbox.py
+++ b/tests/gateway/test_peer_outbox.py
@@ -5,15 +5,16 @@
 import pytest
 
 from orchidhatch.gateway.actions import SendGossip
+from orchidhatch.gateway.attempts import AttemptResult
 from orchidhatch.gateway.constants import CC_PERIOD_US, MOST_PERIODS
 from orchidhatch.gateway.decision_context import DecisionContext
 from orchidhatch.gateway.gossip import AttemptObservation, GossipMessage
 from orchidhatch.gateway.peer_outbox import BURST_MESSAGES, MESSAGES_LIMIT, PeerOutbox
 from orchidhatch.gateway.times import S
-from tests.helpers import SETTINGS
+from tests.helpers import MS, SETTINGS, Set, World, of
 
 PEER = 2
-WORD = GossipMessage(customer=1, plan_index=0, set_first=0, set_size=4)
+MESSAGE = GossipMessage(customer=1, plan_index=0, set_first=0, set_size=4)
 
 
 def observation(latency: float) -> AttemptObservation:
@@ -26,75 +27,153 @@
 
 
 def sent(outbox: PeerOutbox) -> list[SendGossip]:
-    """What leaves now; the actions are taken off."""
+    """What is sent now; the actions are taken off."""
     outbox.send()
-    messages = [action for action in outbox.context.actions if isinstance(action, SendGossip)]
+    sends = [action for action in outbox.context.actions if isinstance(action, SendGossip)]
     outbox.context.actions.clear()
-    return messages
+    return sends
 
 
-def test_nothing_leaves_when_nothing_waits(outbox: PeerOutbox) -> None:
+def test_empty_outbox_sends_nothing(outbox: PeerOutbox) -> None:
     assert sent(outbox) == []
 
 
-def test_messages_to_one_peer_keep_their_space_on_average(outbox: PeerOutbox) -> None:
-    count, end_us = 0, 2 * S
-    for now in range(0, end_us, 1_000):
-        outbox.context.now_us = now
-        outbox.add(PEER, WORD)
+def test_sends_to_one_peer_keep_their_spacing_on_average(outbox: PeerOutbox) -> None:
+    count = 0
+    end_us = 2 * S
+    for now_us in range(0, end_us, 1_000):
+        outbox.context.now_us = now_us
+        outbox.add(PEER, MESSAGE)
         count += len(sent(outbox))
     whole_spaces = end_us / outbox.spacing_us
     assert whole_spaces - 1 <= count <= whole_spaces + BURST_MESSAGES
 
 
-def test_a_burst_leaves_at_once_up_to_its_bound_then_waits_until_it_is_due(outbox: PeerOutbox) -> None:
+def test_burst_is_sent_at_once_and_the_rest_when_due(outbox: PeerOutbox) -> None:
     counts = []
     for _ in range(BURST_MESSAGES + 2):
-        outbox.add(PEER, WORD)
+        outbox.add(PEER, MESSAGE)
         counts.append(len(sent(outbox)))
     assert counts == [1] * BURST_MESSAGES + [0, 0]
     (due_us,) = outbox.dues()
     outbox.context.now_us = int(due_us) - 1
     assert sent(outbox) == []
     outbox.context.now_us = int(due_us) + 1
-    (message,) = sent(outbox)
-    assert message.messages == (WORD, WORD)
-    assert message.waited_us == int(due_us) + 1
+    (send,) = sent(outbox)
+    assert send.messages == (MESSAGE, MESSAGE)
+    assert send.waited_us == int(due_us) + 1
 
 
-def test_one_peer_that_waits_does_not_delay_another(outbox: PeerOutbox) -> None:
+def test_waiting_peer_does_not_delay_another(outbox: PeerOutbox) -> None:
     for _ in range(BURST_MESSAGES + 1):
-        outbox.add(PEER, WORD)
+        outbox.add(PEER, MESSAGE)
         sent(outbox)
-    outbox.add(PEER + 1, WORD)
-    assert [message.peer for message in sent(outbox)] == [PEER + 1]
+    outbox.add(PEER + 1, MESSAGE)
+    assert [send.peer for send in sent(outbox)] == [PEER + 1]
 
 
-def test_the_oldest_is_dropped_and_counted_when_the_outbox_is_full(outbox: PeerOutbox) -> None:
-    words = [replace(WORD, demand=float(number)) for number in range(MESSAGES_LIMIT + 3)]
-    for word in words:
-        outbox.add(PEER, word)
+def test_full_outbox_drops_and_counts_the_oldest(outbox: PeerOutbox) -> None:
+    messages = [replace(MESSAGE, demand=float(number)) for number in range(MESSAGES_LIMIT + 3)]
+    for message in messages:
+        outbox.add(PEER, message)
     assert outbox.dropped == 3
-    (message,) = sent(outbox)
-    assert message.messages == tuple(words[3:])
+    (send,) = sent(outbox)
+    assert send.messages == tuple(messages[3:])
 
 
 def test_each_peer_is_sent_an_observation_once(outbox: PeerOutbox) -> None:
     outbox.add_observation(observation(1))
-    outbox.add(PEER, WORD)
-    assert [message.observations for message in sent(outbox)] == [(observation(1),)]
+    outbox.add(PEER, MESSAGE)
+    assert [send.observations for send in sent(outbox)] == [(observation(1),)]
     outbox.add_observation(observation(2))
-    outbox.add(PEER, WORD)
-    outbox.add(PEER + 1, WORD)
-    assert {message.peer: message.observations for message in sent(outbox)} == {
+    outbox.add(PEER, MESSAGE)
+    outbox.add(PEER + 1, MESSAGE)
+    assert {send.peer: send.observations for send in sent(outbox)} == {
         PEER: (observation(2),),
         PEER + 1: (observation(1), observation(2)),
     }
 
 
-def test_an_observation_older_than_the_longest_period_is_not_sent(outbox: PeerOutbox) -> None:
+def test_observation_past_the_longest_period_is_not_sent(outbox: PeerOutbox) -> None:
     outbox.add_observation(observation(1))
     outbox.context.now_us = MOST_PERIODS * CC_PERIOD_US
     outbox.add_observation(observation(2))
-    outbox.add(PEER, WORD)
-    assert [message.observations for message in sent(outbox)] == [(observation(2),)]
+    outbox.add(PEER, MESSAGE)
+    assert [send.observations for send in sent(outbox)] == [(observation(2),)]
+
+
+def test_observations_of_ended_attempts_are_sent_while_new() -> None:
+    """A peer gets each observation once, none past its age, and no more than are kept."""
+    world = World(replace(SETTINGS, gateway_count=2))
+    outbox = world.gateway.outbox
+    for number in range(3):
+        world.ask(f"r{number}")
+        world.answer(f"r{number}", AttemptResult.ERROR if number else AttemptResult.OK)
+    first = outbox.unsent_observations(1)
+    second = outbox.unsent_observations(1)
+    assert [observed.succeeded for observed in first] == [True, False, False]
+    assert second == ()
+    # An error says nothing of how busy servers are.
+    assert [observed.relative_latency for observed in first][1:] == [0.0, 0.0]
+    assert len(outbox.unsent_observations(0)) == 3
+    world.ask("late")
+    world.answer("late")
+    world.gateway.context.now_us += 3 * S
+    assert outbox.unsent_observations(1) == ()
+    for number in range(100):
+        world.ask(f"s{number}", customer=f"c{number}")
+        world.answer(f"s{number}")
+    assert len(outbox.unsent_observations(1)) == 16
+
+
+def test_sends_stay_under_half_of_what_a_gateway_can_receive() -> None:
+    """However much one customer requests, its leader can receive what is reported of it."""
+    for count in (3, 40):
+        gateways = Set(count)
+        received = 0
+        for number in range(2000):
+            gateways.ask(number * 7 % count, f"r{number}")
+            if number % 4 == 3:
+                gateways.run(10 * MS)
+                by_peer = [sum(send.peer == peer for _, send in gateways.posted) for peer in range(count)]
+                received += max(by_peer)
+        assert received / 5 <= 60
+
+
+def test_grant_requests_need_not_wait_for_the_spacing() -> None:
+    """A request that comes too late is repeated, and its leader counts it twice."""
+    world = World(replace(SETTINGS, gateway_count=4, gateway_index=0))
+    names = [f"c{number}" for number in range(200)]
+    counts = []
+    for name in names:
+        actions = world.ask(f"r{name}", customer=name, set_size=4, units=20.0)
+        counts.append(len(of(SendGossip, actions)))
+        if sum(counts) == 9:
+            break
+    assert max(counts) == 1
+    assert sum(counts) == 9  # three running to each of three peers
+    assert not any(
+        of(SendGossip, world.ask(f"s{name}", customer=name, set_size=4, units=20.0)) for name in names
+    )
+
+
+def test_waiting_messages_are_sent_when_the_spacing_permits() -> None:
+    settings = replace(SETTINGS, gateway_count=3, gateway_index=0, peer_messages_per_s=4.0)
+    world = World(settings)
+    sends = []
+    for number in range(8):
+        sends += of(SendGossip, world.ask(f"a{number}", customer="c2", set_size=3, plan_index=0))
+    outbox = world.gateway.outbox
+    leader = next(iter(world.gateway.quotas.customers.values())).leader
+    assert leader != 0
+    assert sends
+    assert not of(SendGossip, world.run(10 * MS))
+    assert outbox.waiting
+    spacing_us = outbox.spacing_us
+    before_us = world.now
+    later = of(SendGossip, world.run(10 * MS))
+    while not later:
+        assert world.now - before_us <= spacing_us + 3 * 20 * MS
+        later = of(SendGossip, world.run(10 * MS))
+    assert later[0].peer == leader
+    assert not outbox.waiting
--- a/tests/gateway/test_policy_change.py
+++ b/tests/gateway/test_policy_change.py
@@ -23,77 +23,75 @@
 
 
 @given(st.lists(st.tuples(plans, st.integers(1, 30)), min_size=1, max_size=6))
-def test_quota_level_when_the_plan_changes_then_carries_over_in_proportion_up_to_the_burst(
-    steps: list[tuple[Plan, int]],
-) -> None:
-    world, number = World(), 0
-    for plan, asked in steps:
-        for _ in range(asked):
+def test_quota_level_scales_with_the_burst_of_a_new_plan(steps: list[tuple[Plan, int]]) -> None:
+    world = World()
+    number = 0
+    for plan, count in steps:
+        for _ in range(count):
             number += 1
             world.ask(f"r{number}")
         [customer] = world.gateway.quotas.customers.values()
         before = customer.refill(world.now)
-        was = before.plan, before.quota.set_level, before.quota.local_share, before.in_flight
+        old_plan = before.plan
+        old_level = before.quota.set_level
+        old_in_flight = before.in_flight
         world.tell(new_policy(plan))
         after = next(iter(world.gateway.quotas.customers.values()))
-        assert after.plan == plan and after.in_flight == was[3]
-        share = plan.burst / was[0].burst if was[0].burst else 0.0
-        assert (
-            after.quota.set_level == pytest.approx(was[1] * share)
-            and after.quota.local_share <= plan.burst + 1e-9
-        )
+        assert after.plan == plan
+        assert after.in_flight == old_in_flight
+        scale = plan.burst / old_plan.burst if old_plan.burst else 0.0
+        assert after.quota.set_level == pytest.approx(old_level * scale)
+        assert after.quota.local_share <= plan.burst + 1e-9
         assert after.ceiling.units <= plan.ceiling_burst + 1e-9
-        for name, attempt in list(world.out):  # whatever was let in ends by what held then
+        for name, attempt in list(world.out):  # what was admitted ends under the plan of then
             world.answer(name, attempt=attempt)
     assert after.in_flight == 0
 
 
-def test_admission_when_suspended_or_banned_then_rejects_and_ignores_other_policies_gossip() -> None:
+def test_suspended_and_banned_are_rejected_and_other_policies_ignored() -> None:
     world = World(replace(SETTINGS, gateway_count=2))
     world.tell(SuspendAdmission(True))
-    assert of(Reject, world.ask("a")) and not world.out
+    assert of(Reject, world.ask("a"))
+    assert not world.out
     world.tell(SuspendAdmission(False))
     assert of(SendAttempt, world.ask("b"))
     world.tell(new_policy(Plan(rate=7.0, burst=7.0), PLAN, mark=9, moved=(1,), banned="c2"))
-    assert of(Reject, world.ask("c", customer="c2")) and of(SendAttempt, world.ask("d"))
+    assert of(Reject, world.ask("c", customer="c2"))
+    assert of(SendAttempt, world.ask("d"))
     ended = dict(world.gateway.counters.ended)
     assert ended == {"policy": 1, "banned": 1}
-    [customer] = [one for one in world.gateway.quotas.customers.values() if one.is_leader][:1]
+    [customer] = [known for known in world.gateway.quotas.customers.values() if known.is_leader][:1]
     demand = customer.demand.units
-    word = GossipMessage(*customer.key, demand=50.0, spent=50.0)
-    for mark, level in (
-        (2, customer.quota.set_level),
-        (0, customer.quota.set_level),
-        (9, customer.quota.set_level - 50),
-    ):
-        world.tell(PeerMessage(1, (word,), policy_mark=mark))
-        assert customer.quota.set_level == pytest.approx(max(level, -customer.plan.rate / 2), abs=0.5)
+    report = GossipMessage(*customer.key, demand=50.0, spent=50.0)
+    level = customer.quota.set_level
+    for mark, expected in ((2, level), (0, level), (9, level - 50)):
+        world.tell(PeerMessage(1, (report,), policy_mark=mark))
+        lowest = -customer.plan.rate / 2
+        assert customer.quota.set_level == pytest.approx(max(expected, lowest), abs=0.5)
     assert customer.demand.units > demand + 40
     world.tell(new_policy(PLAN, moved=(-1, -1)))
     assert not world.gateway.quotas.customers
 
 
-def test_wait_times_when_requests_queue_for_a_permit_then_are_reported_by_reason() -> None:
+def test_requests_waiting_for_a_slot_report_wait_times() -> None:
     world = World(replace(SETTINGS, plans=(TIGHT,)))
     for name in ("a", "b", "c"):
         world.ask(name)
     world.run(100 * MS)
-    waited = sum(
-        (dict(action.times).get("open_cap", 0) for _, action in world.log if isinstance(action, WaitTimes))
-    )
-    assert waited == pytest.approx(2 * 100 * MS, rel=0.25)
+    times = [dict(action.times) for _, action in world.log if isinstance(action, WaitTimes)]
+    waited_us = sum(by_reason.get("open_cap", 0) for by_reason in times)
+    assert waited_us == pytest.approx(2 * 100 * MS, rel=0.25)
 
 
-def test_peer_message_when_it_has_a_policy_mark_then_is_decoded_here_and_refused_by_earlier_versions() -> (
-    None
-):
-    words = tuple(GossipMessage(n, 0, 0, 2, demand=1.0) for n in range(13))
-    seen = (AttemptObservation(7, 0, True, 0.5),)
-    [plain], [marked] = pack_message(words, seen), pack_message(words, seen, 200)
-    assert (mark_of(plain), mark_of(marked)) == (0, 200) and max(map(len, (plain, marked))) <= 256
-    assert unpack_message(plain)[0] == unpack_message(marked)[0] == words
-    assert (
-        1 + (marked[0] ^ HEAD) * MESSAGE.size > 256
-    )  # by which the version before knows what is not its form
+def test_marked_datagram_is_malformed_to_earlier_versions() -> None:
+    """This version decodes it; an earlier one takes the head's kind for a count that is too large."""
+    messages = tuple(GossipMessage(number, 0, 0, 2, demand=1.0) for number in range(13))
+    observations = (AttemptObservation(7, 0, True, 0.5),)
+    [plain] = pack_message(messages, observations)
+    [marked] = pack_message(messages, observations, 200)
+    assert (mark_of(plain), mark_of(marked)) == (0, 200)
+    assert max(map(len, (plain, marked))) <= 256
+    assert unpack_message(plain)[0] == unpack_message(marked)[0] == messages
+    assert 1 + (marked[0] ^ HEAD) * MESSAGE.size > 256
     for cut in range(len(marked)):
         unpack_message(marked[:cut])
--- /dev/null
+++ b/tests/gateway/test_quota_leader.py
@@ -0,0 +1,49 @@
+"""The leader's side of quotas: what it counts of grants and reports."""
+
+from dataclasses import replace
+
+import pytest
+
+from orchidhatch.gateway.actions import SendGossip
+from orchidhatch.gateway.endpoints import EndpointListKind
+from orchidhatch.gateway.events import EndpointList, PeerMessage
+from orchidhatch.gateway.gossip import GossipMessage
+from tests.gateway.quota_scenarios import all_customers
+from tests.helpers import MS, PLAN, SETTINGS, S, Set, World, of
+
+
+def test_granted_units_are_counted_once() -> None:
+    """The leader counts what it grants; what members report later must not be the same units again."""
+    gateways = Set(20, replace(SETTINGS, plans=(replace(PLAN, burst=10.0),)))
+    for number in range(300):
+        gateways.ask(number * 7 % 20, f"r{number}")
+        gateways.run(110 * MS)
+    leaders = [customer for customer in all_customers(gateways) if customer.is_leader]
+    assert leaders[0].quota.set_level > 6  # of 10, at nine tenths of the rate
+
+
+def test_granted_units_not_sent_return_to_the_quota() -> None:
+    gateways = Set(20)
+    for world in gateways.worlds:
+        world.tell(EndpointList(EndpointListKind.FULL, 2, ()))
+    for _ in range(3):
+        for number in range(20):
+            gateways.ask(number, f"r{gateways.worlds[number].now}")
+        gateways.run(4 * S)
+    levels = [
+        customer.quota.set_level
+        for world in gateways.worlds
+        for customer in world.gateway.quotas.customers.values()
+        if customer.leader == world.gateway.settings.gateway_index
+    ]
+    assert levels == [pytest.approx(20, abs=0.5)]
+
+
+def test_report_of_attempts_in_flight_is_not_answered() -> None:
+    world = World(replace(SETTINGS, gateway_count=2, plans=(replace(PLAN, max_in_flight=1),)))
+    led_here = (0, 0, 0, 2)
+    world.tell(PeerMessage(1, (GossipMessage(*led_here, level=0.0, in_flight=1),)))
+    (customer,) = world.gateway.quotas.customers.values()
+    assert customer.leader_slots.in_use(world.now) == 1
+    assert customer.quota.set_level == 0
+    assert not of(SendGossip, [action for _, action in world.log])
--- /dev/null
+++ b/tests/gateway/test_quota_leaders.py
@@ -0,0 +1,27 @@
+"""The customers that a gateway knows, and the messages about them."""
+
+from dataclasses import replace
+
+from orchidhatch.gateway.events import PeerMessage
+from orchidhatch.gateway.gossip import GossipMessage
+from tests.helpers import SETTINGS, S, World
+
+
+def test_messages_from_peers_are_validated() -> None:
+    world = World(replace(SETTINGS, gateway_count=2))
+    unknown_plan = GossipMessage(1, 9, 0, 2)
+    other_set = GossipMessage(1, 0, 5, 1)
+    empty_set = GossipMessage(1, 0, 0, 0)
+    huge = GossipMessage(1, 0, 0, 2, demand=1e9, requested=1e9, level=-1e9)
+    for message in (unknown_plan, other_set, empty_set, huge):
+        world.tell(PeerMessage(1, (message,)))
+    assert len(world.gateway.quotas.customers) == 1
+
+
+def test_idle_customers_are_forgotten() -> None:
+    world = World()
+    for number in range(50):
+        world.ask(f"r{number}", customer=f"c{number}")
+        world.answer(f"r{number}")
+    world.run(90 * S)
+    assert not world.gateway.quotas.customers
--- /dev/null
+++ b/tests/gateway/test_quota_member.py
@@ -0,0 +1,77 @@
+"""The member's side of quotas: requests to a leader that answers late, or not at all."""
+
+import zlib
+from dataclasses import replace
+
+import pytest
+
+from orchidhatch.gateway.actions import Fail, Reject, SendAttempt, SendGossip
+from orchidhatch.gateway.endpoints import EndpointListKind
+from orchidhatch.gateway.events import EndpointList, PeerMessage
+from orchidhatch.gateway.gossip import GossipMessage
+from orchidhatch.gateway.settings import Idempotency, Plan, RequestClass
+from orchidhatch.gateway.snapshots import CustomerKey
+from tests.helpers import MS, PLAN, SETTINGS, S, Set, World, of
+
+UNSAFE = RequestClass(2 * S, 6 * S, idempotency=Idempotency.UNSAFE)
+
+
+def test_quota_is_used_while_messages_or_the_leader_are_lost() -> None:
+    """Requests inside the quota are sent without an answer of the leader, and in time."""
+    for loss, down in ((0.3, -1), (0.0, 3)):
+        gateways = Set(20, loss=loss)
+        gateways.down = down
+        for number in range(200):
+            if number * 7 % 20 != down:
+                gateways.ask(number * 7 % 20, f"r{number}")
+            gateways.run(200 * MS)
+        assert gateways.sent() >= 180
+
+
+@pytest.mark.parametrize("left", [5, 30, 60, 90, 130, 200, 260])
+def test_request_awaiting_a_grant_ends_in_time(left: int) -> None:
+    """Clients with little time left, in milliseconds, and a leader that never answers."""
+    settings = replace(SETTINGS, classes=(UNSAFE,), plans=(replace(PLAN, burst=2.0),))
+    gateways = Set(20, settings)
+    for number, world in enumerate(gateways.worlds):
+        gateways.down = number
+        world.tell(EndpointList(EndpointListKind.FULL, 2, ()))
+        world.gateway.balancer.mean_us = [20 * MS]
+        world.ask("a", time_left_us=left * MS, set_size=20)
+        start_us = world.now
+        world.run(S)
+        ends_us = [at_us - start_us for at_us, action in world.log if isinstance(action, Reject | Fail)]
+        assert len(ends_us) == 1
+        assert ends_us[0] <= left * MS
+
+
+def test_silent_leader_is_asked_with_backoff() -> None:
+    """It may receive more than it can process: a hundred gateways that each ask twice would keep it so."""
+    plan = Plan(rate=10.0, burst=20.0)
+    world = World(replace(SETTINGS, plans=(plan,), gateway_count=40, gateway_index=5))
+    key = CustomerKey(zlib.crc32(b"c"), 0, 0, 40)
+    requests_us = []
+    for number in range(400):
+        sends = of(SendGossip, world.ask(f"r{number}", set_size=40) + world.run(100 * MS))
+        requests_us += [world.now for send in sends for message in send.messages if message.requested > 0]
+    assert 6 <= len(requests_us) <= 30  # of 40 s; two for each request would be 800
+    sent = of(SendAttempt, [action for _, action in world.log])
+    assert len(sent) <= 1 + 40 * 10 / 40 + 1  # the local share
+    customer = world.gateway.quotas.customer(key)
+    answer = GossipMessage(*key, is_answer=True, level=20.0, demand=1.0)
+    world.tell(PeerMessage(customer.leader, (answer,)))
+    assert of(SendGossip, world.ask("answered", set_size=40) + world.run(100 * MS))
+
+
+def test_leader_is_not_asked_before_the_quota_can_have_refilled() -> None:
+    """Each request costs the leader a message of what it can receive for all customers."""
+    world = World(replace(SETTINGS, plans=(Plan(rate=0.5, burst=2.0),), gateway_count=40, gateway_index=5))
+    customer = world.gateway.quotas.customer(CustomerKey(zlib.crc32(b"c"), 0, 0, 40))
+    assert customer.leader != 5
+    customer.last_answer_us = world.now
+    customer.quota.set_level = 0.2
+    world.now += S  # 0.7 of a request
+    assert of(Reject, world.ask("early", set_size=40))
+    assert not of(SendGossip, world.run(MS))
+    world.now += S  # 1.2
+    assert of(SendGossip, world.ask("later", set_size=40))
