--- a/orchidhatch/gateway/peer_outbox.py
+++ b/orchidhatch/gateway/peer_outbox.py
@@ -8,6 +8,7 @@
 from orchidhatch.gateway.decision_context import DecisionContext
 from orchidhatch.gateway.gossip import AttemptObservation, GossipMessage
 from orchidhatch.gateway.leader_requests import LEADER_REPLY_TIMEOUT_US
+from orchidhatch.gateway.metric_names import MESSAGES_SENT
 from orchidhatch.gateway.times import S
 
 OBSERVATIONS_LIMIT = 16
@@ -25,7 +26,7 @@
 
     `waiting` holds the messages by peer, `since` when the first of them was added, `dropped` how many were
     dropped because too many waited. `tally` counts messages and requests by the names of
-    `metrics.GOSSIP_COUNTS`. Each gateway of many sends each server too few attempts to detect an outlier
+    `metric_names.GOSSIP_COUNTS`. Each gateway of many sends each server too few attempts to detect an outlier
     alone, so the peers get its observations.
     """
 
@@ -73,7 +74,7 @@
         """Send a peer all that waits for it."""
         now_us = self.context.now_us
         self.next_send_us[peer] = max(now_us, self.next_send_us.get(peer, 0)) + self.spacing_us
-        self.tally["told"] += 1
+        self.tally[MESSAGES_SENT] += 1
         waited_us = now_us - self.since.pop(peer)
         messages = tuple(self.waiting.pop(peer))
         self.context.actions.append(SendGossip(peer, messages, self.unsent_observations(peer), waited_us))
