--- a/orchidhatch/gateway/admission.py
+++ b/orchidhatch/gateway/admission.py
@@ -6,10 +6,11 @@
 from orchidhatch.gateway.decision_context import DecisionContext
 from orchidhatch.gateway.events import Request, SuspendAdmission
 from orchidhatch.gateway.in_flight import InFlightRequest
+from orchidhatch.gateway.leader_requests import LEADER_REPLY_TIMEOUT_US, MAX_LEADER_REQUESTS
 from orchidhatch.gateway.metric_names import GRANTS_ANSWERED, GRANTS_REQUESTED
 from orchidhatch.gateway.overload import OverloadController
 from orchidhatch.gateway.peer_outbox import PeerOutbox
-from orchidhatch.gateway.quota import ASK_US, ASKS, Customer
+from orchidhatch.gateway.quota import Customer
 from orchidhatch.gateway.quota_leaders import QuotaLeaders
 from orchidhatch.gateway.reasons import QuotaDecisionSource, RejectionReason
 from orchidhatch.gateway.request_completion import RequestCompletion
@@ -126,7 +127,7 @@
 
     def request_grant(self, request: InFlightRequest) -> None:
         """Ask the customer's quota leader, and wait for its answer."""
-        wait_us = min(ASK_US, request.rule.latency_objective_us // GRANT_WAIT_DIVISOR)
+        wait_us = min(LEADER_REPLY_TIMEOUT_US, request.rule.latency_objective_us // GRANT_WAIT_DIVISOR)
         latest_us = request.deadline_us - MIN_TICKS_AFTER_GRANT_WAIT * TICK_US
         request.grant_requests += 1
         request.decide_at_us = min(self.context.now_us + wait_us, latest_us)
@@ -165,8 +166,8 @@
 
     def may_request_again(self, request: InFlightRequest) -> bool:
         """Whether the quota leader may be asked once more, as messages may be lost."""
-        wait_end_us = self.context.now_us + ASK_US + MIN_TICKS_AFTER_GRANT_WAIT * TICK_US
-        return request.grant_requests < ASKS and wait_end_us < request.deadline_us
+        wait_end_us = self.context.now_us + LEADER_REPLY_TIMEOUT_US + MIN_TICKS_AFTER_GRANT_WAIT * TICK_US
+        return request.grant_requests < MAX_LEADER_REQUESTS and wait_end_us < request.deadline_us
 
     def decide_after_wait(self, request: InFlightRequest, chance: float, source: QuotaDecisionSource) -> None:
         """Decide on a request that the quota leader was asked for, unless its client has gone meanwhile.
--- a/orchidhatch/gateway/handover_state.py
+++ b/orchidhatch/gateway/handover_state.py
@@ -3,11 +3,11 @@
 import math
 from collections.abc import Iterable, Iterator, Mapping
 
-from orchidhatch.gateway.customer_record import CustomerRecord
 from orchidhatch.gateway.decision_context import DecisionContext
 from orchidhatch.gateway.in_flight import InFlightRequest
 from orchidhatch.gateway.load_balancing import LoadBalancer
 from orchidhatch.gateway.overload import OverloadController
+from orchidhatch.gateway.quota import Customer
 from orchidhatch.gateway.snapshots import GatewaySnapshot, HandoverAttempt, HandoverEjection, OverloadSnapshot
 
 
@@ -15,7 +15,7 @@
     context: DecisionContext,
     overload: OverloadController,
     balancer: LoadBalancer,
-    customers: Iterable[CustomerRecord],
+    customers: Iterable[Customer],
     ejected_by_name: Mapping[str, bool],
     requests: Iterable[InFlightRequest],
 ) -> GatewaySnapshot:
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -14,9 +14,6 @@
 UNFINISHED = frozenset(
     (
         "gateway/constants.py",
-        "gateway/peer_outbox.py",
-        "gateway/quota.py",
-        "gateway/quota_leaders.py",
         "proxy/__main__.py",
         "proxy/clients.py",
         "proxy/clock.py",
