--- a/orchidhatch/proxy/wait_queues.py
+++ b/orchidhatch/proxy/wait_queues.py
@@ -22,10 +22,6 @@
         self.counts[bisect_left(BUCKET_BOUNDS_MS, wait_us / 1000)] += 1
         self.sum_us += wait_us
 
-    def total(self) -> int:
-        """How many waits were counted."""
-        return sum(self.counts)
-
     def samples_text(self, queue: str) -> str:
         """The samples of a Prometheus histogram, whose buckets are cumulative."""
         bounds = [*(f"{bound_ms / 1000:g}" for bound_ms in BUCKET_BOUNDS_MS), "+Inf"]
--- /dev/null
+++ b/tests/proxy/gateway_scripts.py
@@ -0,0 +1,62 @@
+"""What several tests have a gateway do, or read of it."""
+
+import asyncio
+import json
+from collections.abc import Callable
+
+from orchidhatch.gateway.events import MetricsRequest
+from orchidhatch.proxy.reply import Reply
+from orchidhatch.proxy.server import GatewayServer
+from orchidhatch.proxy.wait_queues import QueueStatus, WaitHistogram
+from tests.sockets import Backend, Client, catalog, query
+
+
+async def until(what: Callable[[], object]) -> None:
+    while not what():
+        await asyncio.sleep(0.001)
+
+
+def queue_status(gateway: GatewayServer, name: str) -> QueueStatus:
+    statuses = gateway.queues.statuses(gateway.dispatcher.ask(MetricsRequest()))
+    return next(status for status in statuses if status.name == name)
+
+
+def waits_count(waits: WaitHistogram) -> int:
+    return sum(waits.counts)
+
+
+def announce_endpoints(gateway: GatewayServer, *entries: dict[str, object]) -> None:
+    """Changes of the endpoint list, as the watch hands them on."""
+    gateway.apply_endpoints(
+        gateway.catalog.read(json.loads(catalog(gateway.catalog.version + 1, entries, reset=False)))
+    )
+
+
+def run_behind_next_request(gateway: GatewayServer, what: Callable[[], None]) -> None:
+    """Have it come in right behind the next request, before the decision core handles that."""
+    take = gateway.clients.take
+
+    def taken(words: list[bytes], reply: Reply) -> None:
+        gateway.clients.take = take
+        take(words, reply)
+        what()
+
+    gateway.clients.take = taken
+
+
+async def warm_up(gateway: GatewayServer, client: Client, *backends: Backend) -> None:
+    """Send requests until each of the backends has an idle connection."""
+    number = 0
+    while not all(backend.commands for backend in backends):
+        number += 1
+        assert await client.ask(query(f"warm{number}")) == b"ok"
+    for backend in backends:
+        backend.commands.clear()
+        backend.came.clear()
+
+
+async def start_drain(gateway: GatewayServer) -> asyncio.Task[None]:
+    draining = asyncio.create_task(gateway.drain())
+    while not gateway.clients.is_draining:
+        await asyncio.sleep(0)
+    return draining
--- a/tests/proxy/test_closing_races.py
+++ b/tests/proxy/test_closing_races.py
@@ -1,4 +1,4 @@
-"""Bytes that arrive in the very moment in which a connection is shut or closed, forced over loopback."""
+"""Bytes that arrive in the moment in which a connection to a backend or a watch closes, over loopback."""
 
 import asyncio
 import json
@@ -6,7 +6,6 @@
 
 import pytest
 
-from orchidhatch.proxy import socket_inspection
 from tests.sockets import (
     HEAD,
     Backend,
@@ -21,70 +20,9 @@
 )
 
 HEAD_WITHOUT_LENGTH = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
-LONG_VALUE = bytes(
-    1 << 20
-)  # more than a client that does not read takes, and less than the system holds for it
 
 
-async def test_last_answer_is_delivered_whole_when_the_client_sent_more_behind_it() -> None:
-    """Unread bytes at the close would have the system reset the connection, and drop what it still holds."""
-
-    backend = Backend(lambda words: None)
-    async with front_door(backend) as (gateway, address):
-        client = await Client.open(address)
-        client.send(query("a1"))
-        await backend.came.wait()
-        gateway.clients.read_no_more()
-        client.writer.transport.pause_reading()
-        client.send(query("a2"))
-        (connection,) = gateway.clients.connections
-        while not socket_inspection.unread(connection.transport):
-            await asyncio.sleep(0)
-        backend.writers[0].write(value(LONG_VALUE))
-        while (
-            gateway.requests.open or not connection.is_ending or connection.transport.get_write_buffer_size()
-        ):
-            await asyncio.sleep(0)
-        await asyncio.sleep(0.05)
-        client.writer.transport.resume_reading()
-        assert await client.answer() == LONG_VALUE
-        assert await client.ended()
-        assert [words[2] for words in backend.commands] == [b"a1"]
-
-
-async def test_error_line_is_delivered_when_a_flood_follows_the_malformed_command() -> None:
-    async with front_door(Backend()) as (_, address):
-        client = await Client.open(address)
-        client.send(b"GET / HTTP/1.1\r\n" + bytes(2 << 20))
-        assert str(await client.answer()).startswith("-ERR Protocol error")
-        assert await client.ended()
-
-
-async def test_flood_of_a_client_that_never_ends_is_not_read_for_ever() -> None:
-    """The connection is reset after a while, and its descriptor is free again."""
-
-    async with front_door(Backend()) as (gateway, address):
-        client = await Client.open(address)
-        client.send(b"GET / HTTP/1.1\r\n" + bytes(1 << 20))
-        assert str(await client.answer()).startswith("-ERR Protocol error")
-        while gateway.clients.connections:
-            client.send(bytes(1024))
-            await asyncio.sleep(0.01)
-
-
-async def test_request_that_arrives_behind_the_close_of_a_resting_connection_is_not_sent_on() -> None:
-    backend = Backend()
-    async with front_door(backend) as (gateway, address):
-        client = await Client.open(address)
-        assert await client.ask(query("a1")) == b"ok"
-        gateway.clients.drain()
-        client.send(query("a2"))
-        assert await client.ended()
-        assert [words[2] for words in backend.commands] == [b"a1"]
-        assert not gateway.requests.open
-
-
-async def test_small_writes_are_never_held_back_by_the_system() -> None:
+async def test_sockets_send_small_writes_without_delay() -> None:
     backend = Backend()
     async with front_door(backend) as (gateway, address):
         client = await Client.open(address)
@@ -97,7 +35,9 @@
             assert end.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
 
-async def test_further_attempt_tells_its_backend_no_more_time_than_the_client_has_left() -> None:
+async def test_retry_states_the_time_that_is_left() -> None:
+    """A further attempt tells its backend no more time than the client has left."""
+
     def told_ms(words: list[bytes]) -> int:
         fields = dict(part.split(b"=") for part in words[3].split(b","))
         return int(fields[b"d"])
@@ -120,7 +60,7 @@
 
 
 @pytest.mark.parametrize("indent", [None, 2], ids=["on one line", "indented"])
-async def test_list_without_a_length_is_taken_when_its_connection_ends(indent: int | None) -> None:
+async def test_list_without_length_ends_with_its_connection(indent: int | None) -> None:
     """An answer over HTTP that states no length is whole at the end of its connection."""
     listed = json.loads(catalog(9, []))
     body = json.dumps(listed, indent=indent).encode()
@@ -137,7 +77,7 @@
 
 
 @pytest.mark.parametrize("head", [HEAD_WITHOUT_LENGTH, HEAD], ids=["no length", "chunked"])
-async def test_list_that_a_reset_cuts_is_not_taken(head: bytes) -> None:
+async def test_list_cut_by_a_reset_is_not_applied(head: bytes) -> None:
     """What was read of it makes sense as it stands; a reset is no end all the same."""
     cut = catalog(9, []).rstrip()
 
@@ -158,7 +98,7 @@
         assert gateway.catalog.version == 7
 
 
-async def test_unreadable_bytes_of_a_backend_at_its_close_end_the_attempt_once() -> None:
+async def test_partial_answer_at_a_close_ends_the_attempt_once() -> None:
     """Half a line, then the end: the attempt may have run, and its request gets one answer."""
 
     backend = Backend(lambda words: None)
--- a/tests/proxy/test_cpu_accounting.py
+++ b/tests/proxy/test_cpu_accounting.py
@@ -23,7 +23,7 @@
     return CpuAccounting(5, every, clock, clock, lambda: clock.now / 1e9)
 
 
-def test_time_goes_to_the_place_that_was_entered_last() -> None:
+def test_time_is_charged_to_the_innermost_category() -> None:
     clock = Clock()
     found = account(clock)
     outer = found.enter(CostCategory.BACKENDS)
@@ -40,7 +40,8 @@
     assert not any(spent.values()) and found.total_s() * 1e9 == pytest.approx(533)
 
 
-def test_timed_entries_stand_for_all_even_where_these_come_in_turn() -> None:
+def test_sampled_entries_stand_for_all() -> None:
+    """Also where entries come in a fixed order."""
     clock = Clock()
     found, read = account(clock, SAMPLING_INTERVAL), 0
     costs = [
@@ -67,7 +68,7 @@
     assert read == pytest.approx(8 * rounds / SAMPLING_INTERVAL, rel=0.05)
 
 
-def test_a_place_that_fails_is_left() -> None:
+def test_failing_call_leaves_its_category() -> None:
     clock = Clock()
     found = account(clock)
 
@@ -82,7 +83,7 @@
     )
 
 
-def test_steps_of_a_job_are_its_places_and_it_sees_its_cancellation() -> None:
+def test_steps_of_a_task_are_charged_and_cancellable() -> None:
     clock = Clock()
     found, seen = account(clock), []
 
@@ -111,7 +112,7 @@
     assert found.estimated_s(CostCategory.DISCOVERY) * 1e9 == pytest.approx(18)
 
 
-def test_idle_intervals_are_kept_apart() -> None:
+def test_idle_intervals_are_added_up_apart() -> None:
     clock = Clock()
     found = account(clock)
     clock.now += 4_000_000_000
@@ -133,7 +134,7 @@
 
 
 @pytest.mark.usefixtures("every_entry")
-async def test_operators_read_where_time_goes() -> None:
+async def test_metrics_page_shows_the_cost_by_category() -> None:
     async with operated(Backend()) as (gateway, address):
         client = await Client.open(address)
         for number in range(20):
@@ -156,7 +157,7 @@
         assert gateway.account.category is CostCategory.LOOP
 
 
-async def test_stats_tell_nothing_new() -> None:
+async def test_stats_page_holds_request_counts_only() -> None:
     async with operated(Backend()) as (gateway, _):
         found = samples((await call(gateway, "GET /stats"))[1])
         assert {name.partition("{")[0] for name in found} == {
@@ -170,7 +171,7 @@
         }
 
 
-async def test_the_log_tells_what_the_interval_cost(caplog: pytest.LogCaptureFixture) -> None:
+async def test_periodic_log_shows_the_cost_of_the_interval(caplog: pytest.LogCaptureFixture) -> None:
     async with operated(Backend()) as (gateway, address):
         client = await Client.open(address)
         assert await client.ask(query("a1")) == b"ok"
--- a/tests/proxy/test_long_values.py
+++ b/tests/proxy/test_long_values.py
@@ -29,7 +29,8 @@
         await asyncio.sleep(0.01)
 
 
-async def test_value_is_passed_on_before_it_is_whole_and_stays_whole(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_long_value_is_streamed(monkeypatch: pytest.MonkeyPatch) -> None:
+    """It is passed on before it is complete, and arrives complete."""
     monkeypatch.setattr(
         backend_pool, "REUSE_DELAY_US", 0
     )  # what is asked is whether its connection is good afterwards
@@ -52,7 +53,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 7, 40_000])
-async def test_value_may_come_in_pieces_of_any_size(size: int) -> None:
+async def test_long_value_may_come_in_pieces_of_any_size(size: int) -> None:
     backend = Backend(lambda words: None)
     async with front_door(backend) as (_, address):
         client = await Client.open(address)
@@ -68,7 +69,7 @@
 
 
 @pytest.mark.parametrize("end", [b"", b"\r\n$-1\r\n?", b"xx$-1\r\n$-1\r\n"])
-async def test_break_cuts_the_clients_connection(end: bytes) -> None:
+async def test_broken_long_value_closes_the_connection(end: bytes) -> None:
     backend = Backend(lambda words: HEAD + (LONG + end if end else LONG[:1000]))
     async with front_door(backend) as (gateway, address):
         client = await Client.open(address)
@@ -83,7 +84,7 @@
         assert len(backend.commands) == 1
 
 
-async def test_answers_keep_their_order_round_a_long_one() -> None:
+async def test_answers_keep_their_order_round_a_long_value() -> None:
     answers = {b"a1": None, b"a2": HEAD + LONG + TAIL, b"a3": value(b"third")}
 
     backend = Backend(lambda words: answers[words[2]])
@@ -105,7 +106,8 @@
     return client
 
 
-async def test_slow_clients_pause_their_backends_and_lose_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_slow_clients_pause_their_backends(monkeypatch: pytest.MonkeyPatch) -> None:
+    """They lose nothing of their values."""
     size, count = backend_connection.MAX_LONG_VALUE_BYTES, 4
     monkeypatch.setattr(send_backlog, "MIN_BACKLOG_BYTES", 100_000)
     body = b"*1\r\n$%d\r\n%b\r\n" % (size, b"x" * size)
@@ -132,7 +134,7 @@
         assert gateway.figures.ended["read"][RequestOutcome.ANSWERED] == count
 
 
-async def test_fast_backend_is_done_while_its_client_still_reads() -> None:
+async def test_fast_backend_ends_before_a_slow_client() -> None:
     """What memory allows is taken off the backend's hands: its attempt counts as out until then."""
 
     size = 2 << 20
@@ -156,7 +158,7 @@
         )
 
 
-async def test_value_that_does_not_move_is_cut_at_last(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_stalled_long_value_is_cut(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(request_lifecycle, "SEND_STALL_TIMEOUT_S", 0.1)
 
     backend = Backend(lambda words: HEAD + LONG[:1000])
@@ -166,7 +168,7 @@
             await client.ask(query("a1"))
 
 
-def test_stream_counts_for_the_customers_cap_but_not_as_load() -> None:
+def test_stream_counts_for_max_in_flight_but_not_as_load() -> None:
     world = World()
     world.ask("a")
     server = world.out[("a", 0)][0]
--- a/tests/proxy/test_policy_admission.py
+++ b/tests/proxy/test_policy_admission.py
@@ -26,9 +26,10 @@
     return str(answer)
 
 
-async def test_gateway_when_started_under_a_policy_then_admits_nobody_before_its_agent_says_so(
+async def test_admission_starts_suspended_under_a_policy(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
+    """Nobody is admitted before the agent says so; later policies apply from their change on."""
     caplog.set_level(logging.INFO)
     async with front_door(Backend(), policy=under_policy(), traces_policy=True) as (gateway, at):
         client = await Client.open(at)
@@ -68,7 +69,7 @@
     ]
 
 
-async def test_gateway_when_it_cannot_know_what_holds_then_suspends_admission() -> None:
+async def test_admission_is_suspended_when_the_policy_may_not_hold() -> None:
     async with front_door(Backend(), policy=under_policy()) as (gateway, at):
         time, heard = FakeClock(), FakeClock()
         gateway.policy_guard.clock, gateway.policy_guard.last_contact_s = time, heard
@@ -102,9 +103,7 @@
     "value",
     [{"number": -1}, {"number": "x"}, {"number": 1, "digest": "xyz"}, {"number": 1 << 60}, {"silent_ms": 0}],
 )
-def test_configuration_when_its_policy_is_malformed_then_is_refused(
-    value: dict[str, Any], tmp_path: Path
-) -> None:
+def test_configuration_with_a_malformed_policy_is_rejected(value: dict[str, Any], tmp_path: Path) -> None:
     file = write_gateway_config(tmp_path, policy=value)
     with pytest.raises(ConfigError, match=r"policy|number|silent_ms"):
         load({"PROXY_CONFIG": str(file)})
--- a/tests/proxy/test_server.py
+++ b/tests/proxy/test_server.py
@@ -11,7 +11,6 @@
 from orchidhatch.gateway.attempts import AttemptResult
 from orchidhatch.gateway.events import AttemptEnded, ClientGone, Event, Request, TimerExpired
 from orchidhatch.proxy import process_lifecycle
-from orchidhatch.proxy.client_connection import COMMAND_TIMEOUT_S
 from orchidhatch.proxy.server import GatewayServer
 from tests.sockets import (
     CONFIG,
@@ -29,7 +28,7 @@
 )
 
 
-async def test_value_goes_through_byte_for_byte() -> None:
+async def test_value_is_forwarded_byte_for_byte() -> None:
     body = bytes(range(256)) * 256  # 64 KiB, with line ends and nulls in it
     backend = Backend(lambda words: value(body))
     async with front_door(backend) as (_, address):
@@ -38,7 +37,7 @@
         assert backend.commands[0][4] == body
 
 
-async def test_only_the_time_is_rewritten() -> None:
+async def test_only_the_wait_field_is_rewritten() -> None:
     backend = Backend()
     async with front_door(backend) as (_, address):
         client = await Client.open(address)
@@ -51,7 +50,7 @@
         assert 2000 < int(sent.decode().removeprefix(head).removesuffix(tail)[2:]) < 3000
 
 
-async def test_backends_refusal_never_passes_through() -> None:
+async def test_rejection_by_a_backend_is_never_forwarded() -> None:
     backend = Backend(lambda words: b"-BUSY 123456\r\n")
     async with front_door(backend) as (_, address):
         client = await Client.open(address)
@@ -71,7 +70,7 @@
         assert len(backend.commands) == 1
 
 
-async def test_unsafe_request_goes_on_where_nobody_listens() -> None:
+async def test_unsafe_request_is_retried_after_a_refused_dial() -> None:
     backend = Backend()
     dead = [refusing_address() for _ in range(6)]
     async with front_door(backend, addresses=dead, settings=replace(SETTINGS, max_attempts=9)) as (_, at):
@@ -79,7 +78,7 @@
         assert await client.ask(submit("a1")) == b"ok"
 
 
-async def test_answer_comes_before_the_clients_time_and_only_once() -> None:
+async def test_request_is_answered_once_within_its_time() -> None:
     backend = Backend(lambda words: None)
     async with front_door(backend) as (gateway, address):
         client = await Client.open(address)
@@ -107,7 +106,8 @@
         assert not gateway.requests.open and not gateway.core.requests
 
 
-async def test_same_id_twice_is_an_error_and_the_first_goes_on() -> None:
+async def test_duplicate_id_gets_an_error() -> None:
+    """The first request with the id goes on."""
     backend = Backend(lambda words: None)
     async with front_door(backend) as (_, address):
         client, other = await Client.open(address), await Client.open(address)
@@ -118,7 +118,7 @@
         assert await client.answer() == b"late"
 
 
-def test_exception_of_the_module_fails_its_request_only(caplog: pytest.LogCaptureFixture) -> None:
+def test_exception_in_the_core_fails_one_request(caplog: pytest.LogCaptureFixture) -> None:
     async def job() -> None:
         async with front_door(Backend()) as (gateway, address):
             handle = gateway.core.handle
@@ -138,7 +138,7 @@
     assert "a fault of the module" in caplog.text and "Traceback" in caplog.text
 
 
-def test_request_that_the_module_forgets_fails_in_time(caplog: pytest.LogCaptureFixture) -> None:
+def test_request_without_a_decision_fails_in_time(caplog: pytest.LogCaptureFixture) -> None:
     async def job() -> None:
         async with front_door(Backend()) as (gateway, address):
             gateway.core.handle = lambda now, event: []
@@ -149,7 +149,7 @@
     assert "left without an answer" in caplog.text
 
 
-async def test_attempt_for_a_request_that_is_over_is_moot() -> None:
+async def test_attempt_for_an_ended_request_is_not_sent() -> None:
     backend = Backend()
     async with front_door(backend) as (gateway, address):
         client = await Client.open(address)
@@ -163,7 +163,7 @@
         assert len(backend.commands) == 1
 
 
-def test_timers_are_never_early_and_events_of_a_moment_share_one_time() -> None:
+def test_timers_are_never_early_and_batches_share_a_time() -> None:
     """uvloop rounds to milliseconds; an early tick is passed over by the module, which then sets no other."""
 
     async def job() -> None:
@@ -196,7 +196,8 @@
     run(job())
 
 
-async def test_drain_serves_what_still_comes_and_answers_all() -> None:
+async def test_drain_serves_late_requests() -> None:
+    """It answers all that came, and closes connections between requests."""
     backend = Backend(lambda words: None if words[2] == b"slow" else value(b"ok"))
     async with front_door(backend) as (gateway, address):
         idle, busy = await Client.open(address), await Client.open(address)
@@ -216,7 +217,7 @@
         await draining
 
 
-async def test_drain_waits_for_a_request_that_comes_at_last(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_drain_waits_for_a_late_request(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(process_lifecycle, "SETTLE_S", 0.0)
     monkeypatch.setattr(process_lifecycle, "DRAIN_LOOK_S", 0.1)
 
@@ -241,7 +242,7 @@
         await draining
 
 
-def test_action_that_cannot_be_carried_out_fails_its_request_only(caplog: pytest.LogCaptureFixture) -> None:
+def test_failing_action_fails_one_request(caplog: pytest.LogCaptureFixture) -> None:
     async def job() -> None:
         async with front_door(Backend()) as (gateway, address):
             handle = gateway.core.handle
@@ -261,7 +262,7 @@
     assert "cannot carry out" in caplog.text
 
 
-async def test_figures_for_those_on_call(caplog: pytest.LogCaptureFixture) -> None:
+async def test_periodic_log_counts_each_interval_anew(caplog: pytest.LogCaptureFixture) -> None:
     backend = Backend()
     async with front_door(backend) as (gateway, address):
         client = await Client.open(address)
@@ -274,28 +275,7 @@
     assert second.startswith("idle;")
 
 
-async def test_who_asks_nothing_or_stops_amid_a_command_is_let_go() -> None:
-    backend = Backend()
-    async with front_door(backend) as (gateway, address):
-        now_s = 100.0
-        gateway.clients.clock = lambda: now_s
-        silent, amid, later, good = [await Client.open(address) for _ in range(4)]
-        amid.send(query("a1")[:20])
-        silent.send(b"*0\r\n")  # asks nothing either
-        for number, client in enumerate((later, good)):
-            assert await client.ask(query(f"b{number}")) == b"ok"
-        later.send(query("b2")[:-1])
-        while [len(one.reader.buffer) > 0 for one in gateway.clients.connections].count(True) < 2:
-            await asyncio.sleep(0.001)
-        now_s += COMMAND_TIMEOUT_S
-        assert await silent.ended()
-        for client in (amid, later):
-            assert await client.answer() == "-ERR no whole command came in time"
-            assert await client.ended()
-        assert await good.ask(query("b3")) == b"ok"
-
-
-async def test_backend_listed_by_a_name_is_passed_over_and_said(caplog: pytest.LogCaptureFixture) -> None:
+async def test_backend_without_an_ip_address_is_skipped_and_logged(caplog: pytest.LogCaptureFixture) -> None:
     """There is no DNS: a look-up would keep a thread, and an attempt, for as long as it takes to fail."""
 
     backend = Backend()
