--- a/tests/proxy/test_guards.py
+++ b/tests/proxy/test_guards.py
@@ -320,7 +320,7 @@
         client.send(query("a1"))
         await until(lambda: "a1" in gateway.requests.open)
         reply = gateway.requests.open["a1"].reply
-        reply.connection.reading = False
+        reply.connection.is_reading = False
         kernel_socket(client.writer).shutdown(socket.SHUT_RDWR)
         assert reply.end_if_client_left(may_be_unread=False)
         assert not gateway.requests.open
--- a/tests/proxy/test_long_values.py
+++ b/tests/proxy/test_long_values.py
@@ -8,8 +8,14 @@
 
 from orchidhatch.gateway.actions import CancelAttempt
 from orchidhatch.gateway.events import StreamStarted
-from orchidhatch.proxy import backend_connection, backend_pool, clients, request_lifecycle
-from orchidhatch.proxy.metrics import Ended
+from orchidhatch.proxy import (
+    backend_connection,
+    backend_pool,
+    client_connection,
+    request_lifecycle,
+    send_backlog,
+)
+from orchidhatch.proxy.metrics import RequestOutcome
 from tests.helpers import World, of
 from tests.sockets import Backend, Client, front_door, query, resp, value
 
@@ -40,7 +46,7 @@
         rest = await client.reader.readexactly(len(LONG) - 1000 + 2)
         assert rest == LONG[1000:] + b"\r\n"
         await until(lambda: not gateway.requests.open and not gateway.core.requests)
-        assert gateway.figures.ended["read"][Ended.ANSWERED] == 1
+        assert gateway.figures.ended["read"][RequestOutcome.ANSWERED] == 1
         backend.answer = lambda words: value(b"ok")
         assert await client.ask(query("a2")) == b"ok" and backend.opened == 1
 
@@ -73,7 +79,7 @@
             backend.writers[0].transport.abort()
         with pytest.raises((EOFError, ConnectionError)):
             await client.answer()
-        assert gateway.figures.ended["read"][Ended.ERRORED] == 1
+        assert gateway.figures.ended["read"][RequestOutcome.ERRORED] == 1
         assert len(backend.commands) == 1
 
 
@@ -101,7 +107,7 @@
 
 async def test_slow_clients_pause_their_backends_and_lose_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     size, count = backend_connection.MAX_LONG_VALUE_BYTES, 4
-    monkeypatch.setattr(clients, "LEAST_POOL", 100_000)
+    monkeypatch.setattr(send_backlog, "MIN_BACKLOG_BYTES", 100_000)
     body = b"*1\r\n$%d\r\n%b\r\n" % (size, b"x" * size)
 
     backend = Backend(lambda words: body)
@@ -110,9 +116,11 @@
             slow = [stack.enter_context(slow_client(address)) for _ in range(count)]
             for number, client in enumerate(slow):
                 client.sendall(query(f"a{number}"))
-            await until(lambda: sum(e.reply.paused for e in gateway.requests.open.values()) == count)
+            await until(lambda: sum(e.reply.is_paused for e in gateway.requests.open.values()) == count)
             waiting = sum(c.transport.get_write_buffer_size() for c in gateway.clients.connections)
-            assert waiting <= 100_000 + count * (backend_connection.READ_BUFFER_BYTES + clients.MOST_UNSENT)
+            assert waiting <= 100_000 + count * (
+                backend_connection.READ_BUFFER_BYTES + client_connection.WRITE_BUFFER_BYTES
+            )
             other = await Client.open(address)
             assert await other.ask(resp("PING")) == b"PONG"
             loop = asyncio.get_running_loop()
@@ -121,7 +129,7 @@
                 while left:
                     left -= len(await loop.sock_recv(client, 1 << 16))
         await until(lambda: not gateway.requests.open)
-        assert gateway.figures.ended["read"][Ended.ANSWERED] == count
+        assert gateway.figures.ended["read"][RequestOutcome.ANSWERED] == count
 
 
 async def test_fast_backend_is_done_while_its_client_still_reads() -> None:
@@ -149,7 +157,7 @@
 
 
 async def test_value_that_does_not_move_is_cut_at_last(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(request_lifecycle, "STALL_S", 0.1)
+    monkeypatch.setattr(request_lifecycle, "SEND_STALL_TIMEOUT_S", 0.1)
 
     backend = Backend(lambda words: HEAD + LONG[:1000])
     async with front_door(backend) as (_, address):
