--- a/tests/proxy/test_connection_state.py
+++ b/tests/proxy/test_connection_state.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from orchidhatch.proxy.client_connection import ClientConnection
+from orchidhatch.proxy.client_connection import MAX_PIPELINED_COMMANDS, ClientConnection
 from orchidhatch.proxy.client_sweeper import COMMAND_TIMEOUT_ERROR
 from orchidhatch.proxy.connection_state import ENDING_STATES, TRANSITIONS, CloseReason, ConnectionState
 from orchidhatch.proxy.guards import Refusal
@@ -152,6 +152,18 @@
     assert entered[:6] == [*UNTIL_STREAMING, ANSWERING, IDLE, TAKING]
 
 
+@pytest.mark.parametrize(
+    ("owed", "is_reading"), [(MAX_PIPELINED_COMMANDS - 1, True), (MAX_PIPELINED_COMMANDS, False)]
+)
+async def test_reading_pauses_at_the_last_pipelined_command(owed: int, is_reading: bool) -> None:
+    async with front_door(Backend(lambda words: None)) as (gateway, address):
+        client = await Client.open(address)
+        client.send(b"".join(query(f"a{number}") for number in range(owed)))
+        await until(lambda: len(gateway.requests.open) == owed)
+        (connection,) = gateway.clients.connections
+        assert connection.is_reading is is_reading
+
+
 @pytest.mark.refusals
 async def test_close_while_an_answer_is_owed_is_refused(entered: list[ConnectionState]) -> None:
     """The row of ANSWERING, which no close follows."""
