--- a/tests/proxy/test_policy_admission.py
+++ b/tests/proxy/test_policy_admission.py
@@ -9,6 +9,7 @@
 
 from orchidhatch.gateway.settings import Plan
 from orchidhatch.proxy.config import ConfigError, Policy, load
+from orchidhatch.proxy.policy_guard import PolicyGuard
 from tests.control.policy.helpers import DIGEST_A, FakeClock
 from tests.gateway_config import write_gateway_config
 from tests.helpers import PLAN
@@ -107,3 +108,9 @@
     file = write_gateway_config(tmp_path, policy=value)
     with pytest.raises(ConfigError, match=r"policy|number|silent_ms"):
         load({"PROXY_CONFIG": str(file)})
+
+
+@pytest.mark.parametrize(("now_s", "is_valid"), [(9.999, True), (10.0, False)])
+def test_policy_is_invalid_from_the_instant_of_its_end(now_s: float, is_valid: bool) -> None:
+    guard = PolicyGuard(under_policy(until_us=10_000_000), lambda: now_s, lambda is_suspended: None)
+    assert (guard.invalid_reason(now_s) == "") is is_valid
