--- a/orchidhatch/control/agent/gateway_steering.py
+++ b/orchidhatch/control/agent/gateway_steering.py
@@ -27,10 +27,10 @@
 class EndpointWatches(Protocol):
     """The watches of this agent's endpoint list, by which the gateway notices that its agent is alive."""
 
-    def suspend_watches(self) -> None:
+    def suspend(self) -> None:
         """End all watches and accept none."""
 
-    def resume_watches(self) -> None:
+    def resume(self) -> None:
         """Accept watches again."""
 
 
@@ -98,7 +98,7 @@
         if self.gateway.state.policy != AppliedPolicy(self._lease.decision.number, permitted):
             await self._switch_to(permitted)
             return
-        self._watches.resume_watches()
+        self._watches.resume()
         if status != HTTPStatus.OK:
             await self.gateway.resume_admission()
 
@@ -112,9 +112,9 @@
             log.warning("admission suspended: lease_remaining_s=%.1f", self._lease.remaining_s())
         is_out_of_service = status is not None and status != HTTPStatus.OK
         if is_out_of_service or await self.gateway.suspend_admission():
-            self._watches.resume_watches()
+            self._watches.resume()
         else:
-            self._watches.suspend_watches()
+            self._watches.suspend()
 
     async def _switch_to(self, digest: str) -> None:
         """Have the gateway serve by this document; one that does not is taken out of service."""
--- a/orchidhatch/control/agent/policy_documents.py
+++ b/orchidhatch/control/agent/policy_documents.py
@@ -6,7 +6,7 @@
 
 from orchidhatch.control.agent.cache_database import CacheDatabase, Statement
 from orchidhatch.control.policy.document import InvalidPolicyError, document_digest
-from orchidhatch.control.policy.records import DOCUMENT_RECORD_PREFIX
+from orchidhatch.control.policy.policy_records import DOCUMENT_RECORD_PREFIX
 from orchidhatch.control.registry_client import RegistryClient
 
 log = logging.getLogger("orchidhatch.policy_documents")
--- a/orchidhatch/control/agent/service.py
+++ b/orchidhatch/control/agent/service.py
@@ -4,34 +4,30 @@
 that is. It also forwards controllers' management calls to the gateway, and holds the gateway's policy lease.
 """
 
-import asyncio
 import logging
-import time
-from collections.abc import Awaitable, Callable, Sequence
+from collections.abc import Callable, Sequence
 from pathlib import Path
 
 import msgspec
 
 from orchidhatch.control.agent.cache_database import CacheDatabase
 from orchidhatch.control.agent.fence_table import FenceTable
-from orchidhatch.control.agent.gateway_calls import FencedCall, GatewayCalls
+from orchidhatch.control.agent.gateway_call_handlers import GatewayCallHandlers
+from orchidhatch.control.agent.gateway_calls import GatewayCalls
 from orchidhatch.control.agent.gateway_setup import GatewaySetup
 from orchidhatch.control.agent.policy_lease_holder import PolicyLeaseHolder
+from orchidhatch.control.agent.readiness import ReadinessGate
 from orchidhatch.control.errors import CorruptStoreError, StoreError
 from orchidhatch.control.http_client import Address
-from orchidhatch.control.http_connection import Connection
 from orchidhatch.control.http_response import Response
 from orchidhatch.control.http_server import EndpointListServer
 from orchidhatch.control.registry.list_persistence import CachedList
 from orchidhatch.control.registry.replication import Replicator, current_time_ms
 from orchidhatch.control.registry.store import Store
 from orchidhatch.control.registry.store_file import put_aside
-from orchidhatch.control.schemas import read_fenced_call
 
 log = logging.getLogger("orchidhatch.agent")
 
-READY_WITHIN_S = 1.0  # how long a watch waits for a registry to be heard, after the start
-READY_CHECK_S = 0.01
 IN_MEMORY = Path(":memory:")  # SQLite's name for a database without a file
 LOCKED_SIGN = "locked"  # in SQLite's message where another process has the file
 
@@ -66,15 +62,15 @@
         self.replicator = Replicator(
             self, registries, wall_clock_ms=wall_clock_ms, persistence=self.cached_list
         )
-        self.waiting_watches: list[Callable[[], None]] = []
-        self.is_ready = not store.entries
-        self.database = CacheDatabase(store.db, self.run_in_turn)
+        self.readiness = ReadinessGate(self.replicator, is_ready=not store.entries)
+        self.database = CacheDatabase(store.db, self.store_executor.run)
         self.gateway_calls: GatewayCalls | None = None
         self.lease_holder: PolicyLeaseHolder | None = None
         if gateway:
             self.gateway_calls = GatewayCalls(FenceTable(self.database), self.replicator, gateway)
+            GatewayCallHandlers(self.gateway_calls, self.tasks).add_routes(self.router)
         if gateway and setup:
-            self.lease_holder = PolicyLeaseHolder(self.database, self, registries, gateway, setup)
+            self.lease_holder = PolicyLeaseHolder(self.database, self.broadcaster, registries, gateway, setup)
 
     def store_name(self) -> str:
         """The name that responses carry: the agent's own store with the term of the list in it."""
@@ -83,51 +79,14 @@
     async def start(self, host: str, port: int) -> None:
         """Serve, replicate and hold the lease until closed."""
         await super().start(host, port)
-        loops = [self.replicator.run(), self._wait_ready()]
+        loops = [self.replicator.run(), self.readiness.wait()]
         if self.lease_holder:
             loops += self.lease_holder.loops()
-        self.start_loops(loops)
+        self.tasks.start_loops(loops)
 
     def when_ready(self, begin: Callable[[], None]) -> None:
-        """Begin a watch once a registry was heard, or none answers: the cache may lack what was told last."""
-        if self.is_ready:
-            begin()
-        else:
-            self.waiting_watches.append(begin)
-
-    async def _wait_ready(self) -> None:
-        """Until a list was received, every registry was tried, or READY_WITHIN_S has passed."""
-        until_s = time.monotonic() + READY_WITHIN_S
-        while time.monotonic() < until_s and not self._has_tried_all():
-            await asyncio.sleep(READY_CHECK_S)
-        self.is_ready = True
-        waiting, self.waiting_watches = self.waiting_watches, []
-        for begin in waiting:
-            begin()
-
-    def _has_tried_all(self) -> bool:
-        replicator = self.replicator
-        return replicator.connected or replicator.upstream_switches >= len(replicator.upstreams)
-
-    def suspend_watches(self) -> None:
-        """End all watches and accept none, so that the gateway hears nothing from its agent."""
-        self.close_watches()
-
-    def resume_watches(self) -> None:
-        """Accept watches again."""
-        self.watches_suspended = False
-
-    def other(self, connection: Connection, method: str, path: tuple[str, ...], body: bytes) -> None:
-        """Requests beside those of every endpoint list's server: management calls to the gateway."""
-        match method, path:
-            case "POST", ("door", *call_path) if self.gateway_calls:
-                fence, act_number = read_fenced_call(body)
-                call = FencedCall(tuple(call_path), fence, act_number)
-                self.start_task(answer_later(connection, self.gateway_calls.forward(call)))
-            case "GET", ("door", query) if self.gateway_calls:
-                self.start_task(answer_later(connection, self.gateway_calls.query(query)))
-            case _:
-                super().other(connection, method, path, body)
+        """Begin a watch once a registry was heard, or none answers."""
+        self.readiness.when_ready(begin)
 
     def health(self) -> Response:
         """Healthy once a list was ever received, however old it is."""
@@ -159,11 +118,6 @@
         return self.format_metrics("agent", values)
 
 
-async def answer_later(connection: Connection, response: Awaitable[Response]) -> None:
-    """Answer a request once its response is known."""
-    connection.answer(await response)
-
-
 def open_cache(path: Path) -> Store:
     """Open the store of the list that was received last; a damaged one is set aside and begun anew.
 
--- a/orchidhatch/control/controller/service.py
+++ b/orchidhatch/control/controller/service.py
@@ -10,7 +10,7 @@
 import time
 from collections.abc import Callable, Mapping, Sequence
 
-from orchidhatch.control.controller.gateway_client import GatewayClient
+from orchidhatch.control.controller.gateway_fleet_client import GatewayClient
 from orchidhatch.control.controller.registry_api import RegistryApi
 from orchidhatch.control.controller.session import SESSION_LEASE_MS, Session
 from orchidhatch.control.controller.shards import OwnedShards, ShardBalancer
--- a/orchidhatch/control/controller/task_context.py
+++ b/orchidhatch/control/controller/task_context.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from orchidhatch.control.controller.errors import FencedError, StaleRecordError, UnavailableError
-from orchidhatch.control.controller.gateway_client import FencedCall, GatewayClient
+from orchidhatch.control.controller.gateway_fleet_client import FencedCall, GatewayClient
 from orchidhatch.control.controller.registry_api import (
     FencedRequest,
     LifecycleRequest,
--- a/orchidhatch/control/http_connection.py
+++ b/orchidhatch/control/http_connection.py
@@ -31,19 +31,25 @@
 RETRY_AFTER_RANGE_S = (1, 5)  # spread, so that rejected clients don't return together
 
 
+class OpenRequests(Protocol):
+    """What a connection needs of its server's statistics."""
+
+    open: set["Connection"]
+    rejected: int
+
+    def count_response(self, status: int) -> None:
+        """Count a response."""
+
+
 class ConnectionServer(Protocol):
     """What a connection needs of the server that accepted it."""
 
-    request_connections: set["Connection"]
-    rejected_requests: int
+    requests: "OpenRequests"
     random: random.Random
 
     def handle(self, connection: "Connection") -> None:
         """Answer a whole request, or begin what will answer it. May raise any mapped error."""
 
-    def count(self, status: int) -> None:
-        """Count a response."""
-
     def store_name(self) -> str:
         """The value of STORE_HEADER."""
 
@@ -80,10 +86,10 @@
     def connection_made(self, transport: asyncio.Transport) -> None:
         """Start the request's timeout, or reject the connection where there are too many."""
         self.transport = transport
-        self._timer = asyncio.get_running_loop().call_later(REQUEST_TIMEOUT_S, self._time_out)
-        self._server.request_connections.add(self)
-        if len(self._server.request_connections) > MAX_REQUESTS:
-            self._server.rejected_requests += 1
+        self._timer = asyncio.get_running_loop().call_later(REQUEST_TIMEOUT_S, self._handle_timeout)
+        self._server.requests.open.add(self)
+        if len(self._server.requests.open) > MAX_REQUESTS:
+            self._server.requests.rejected += 1
             self.fail(UnavailableError("too many calls"))
 
     def data_received(self, data: bytes) -> None:
@@ -112,7 +118,7 @@
         if self._is_answered or self._is_watch or self.is_closing:
             return
         self._is_answered = True
-        self._server.count(response.status)
+        self._server.requests.count_response(response.status)
         body = response.body()
         headers = [
             ("Content-Type", response.kind),
@@ -156,7 +162,7 @@
             log.exception("request failed unexpectedly: request=%r", self.request)
             self.answer(Response(500, ErrorBody("internal error")))
 
-    def _time_out(self) -> None:
+    def _handle_timeout(self) -> None:
         """The request is late, or its response is not read."""
         if self._is_answered:
             self.transport.abort()
--- a/orchidhatch/control/ownership/service.py
+++ b/orchidhatch/control/ownership/service.py
@@ -12,7 +12,7 @@
 from orchidhatch.control.errors import ConflictError, NotFoundError
 from orchidhatch.control.http_connection import Connection
 from orchidhatch.control.http_response import Response
-from orchidhatch.control.leases import LeaseTable, MassExpiryLimit
+from orchidhatch.control.lease_table import LeaseTable, MassExpiryLimit
 from orchidhatch.control.ownership.objects import Claim, Session
 from orchidhatch.control.ownership.writes import ClaimsWrite, EndSession
 from orchidhatch.control.registry.store import Outcome, Store
--- a/orchidhatch/control/policy/change.py
+++ b/orchidhatch/control/policy/change.py
@@ -26,7 +26,7 @@
     total_counts,
 )
 from orchidhatch.control.policy.history import record_decision
-from orchidhatch.control.policy.records import (
+from orchidhatch.control.policy.policy_records import (
     DECISION_RECORD,
     Decision,
     decode_decision,
--- a/orchidhatch/control/policy/change_record.py
+++ b/orchidhatch/control/policy/change_record.py
@@ -9,7 +9,7 @@
 
 from orchidhatch.control.controller.stored_json import decode_stored
 from orchidhatch.control.controller.task_records import KIND_FIELD, TaskKind
-from orchidhatch.control.policy.records import CHANGE_TASK_RECORD
+from orchidhatch.control.policy.policy_records import CHANGE_TASK_RECORD
 
 PREPARE_LIMIT_S = 60.0
 CHANGE_ID_BYTES = 6
--- a/orchidhatch/control/policy/current_decision.py
+++ b/orchidhatch/control/policy/current_decision.py
@@ -4,7 +4,12 @@
 
 from orchidhatch.control.ownership.objects import Record
 from orchidhatch.control.policy.lease_host import LeaseHost
-from orchidhatch.control.policy.records import ACTIVATED_RECORD, DECISION_RECORD, Decision, decode_decision
+from orchidhatch.control.policy.policy_records import (
+    ACTIVATED_RECORD,
+    DECISION_RECORD,
+    Decision,
+    decode_decision,
+)
 
 
 class CurrentDecision:
--- a/orchidhatch/control/policy/display.py
+++ b/orchidhatch/control/policy/display.py
@@ -6,7 +6,7 @@
 from orchidhatch.control.policy.change_record import ChangeRecord
 from orchidhatch.control.policy.document import Policy, document_differences
 from orchidhatch.control.policy.fleet_status import FleetStatus, GatewayStatus
-from orchidhatch.control.policy.records import Decision
+from orchidhatch.control.policy.policy_records import Decision
 
 NOTHING = "-"
 
--- a/orchidhatch/control/policy/fleet_status.py
+++ b/orchidhatch/control/policy/fleet_status.py
@@ -8,7 +8,7 @@
 from msgspec import UNSET, Struct, UnsetType, field
 
 from orchidhatch.control.policy.change_record import EndCounts
-from orchidhatch.control.policy.records import Decision
+from orchidhatch.control.policy.policy_records import Decision
 from orchidhatch.control.policy.timing import ABSENT_AFTER_S, LEASE_S
 
 DECISION_FIELD = "now"
--- a/orchidhatch/control/policy/gateway_directory.py
+++ b/orchidhatch/control/policy/gateway_directory.py
@@ -5,7 +5,7 @@
 from orchidhatch.control.ownership.objects import Gateway
 from orchidhatch.control.policy.fleet_status import GatewayState, GatewayStatus, state_by_age
 from orchidhatch.control.policy.lease_host import LeaseHost
-from orchidhatch.control.policy.lease_messages import ListedGateway, PolicyReport
+from orchidhatch.control.policy.policy_lease_messages import ListedGateway, PolicyReport
 from orchidhatch.control.policy.timing import ABSENT_AFTER_S
 
 
--- a/orchidhatch/control/policy/leases.py
+++ b/orchidhatch/control/policy/gateway_policy_leases.py
@@ -22,9 +22,9 @@
 from orchidhatch.control.policy.fleet_status import FleetStatus, GatewayState
 from orchidhatch.control.policy.gateway_directory import GatewayDirectory
 from orchidhatch.control.policy.lease_host import LeaseHost
-from orchidhatch.control.policy.lease_messages import PolicyLease, PolicyReport
+from orchidhatch.control.policy.policy_lease_messages import PolicyLease, PolicyReport
+from orchidhatch.control.policy.policy_records import ACTIVATED_RECORD, CHANGE_TASK_RECORD, DECISION_RECORD
 from orchidhatch.control.policy.policy_replication import PolicyReplication
-from orchidhatch.control.policy.records import ACTIVATED_RECORD, CHANGE_TASK_RECORD, DECISION_RECORD
 from orchidhatch.control.policy.term_decision import TermDecision
 from orchidhatch.control.policy.timing import ABSENT_AFTER_S, ACTIVATION_DELAY_S, LEASE_S
 
--- a/orchidhatch/control/policy/history.py
+++ b/orchidhatch/control/policy/history.py
@@ -4,7 +4,7 @@
 
 from orchidhatch.control.controller.registry_api import RecordsStatus, StoredRecord
 from orchidhatch.control.controller.task import TaskContext
-from orchidhatch.control.policy.records import (
+from orchidhatch.control.policy.policy_records import (
     DOCUMENT_RECORD_PREFIX,
     HISTORY_RECORD_PREFIX,
     Decision,
--- a/orchidhatch/control/policy/handlers.py
+++ b/orchidhatch/control/policy/policy_handlers.py
@@ -7,9 +7,9 @@
 from orchidhatch.control.http_response import Response
 from orchidhatch.control.ownership.writes import RemoveGateway
 from orchidhatch.control.policy.fleet_status import encode_fleet_status
+from orchidhatch.control.policy.gateway_policy_leases import GatewayPolicyLeases
 from orchidhatch.control.policy.lease_host import LeaseHost
-from orchidhatch.control.policy.lease_messages import PolicyReport
-from orchidhatch.control.policy.leases import GatewayPolicyLeases
+from orchidhatch.control.policy.policy_lease_messages import PolicyReport
 from orchidhatch.control.router import Request, Router
 from orchidhatch.control.schemas import name, read_gateway_report, read_register_gateway
 
--- a/orchidhatch/control/policy/policy_replication.py
+++ b/orchidhatch/control/policy/policy_replication.py
@@ -14,8 +14,8 @@
 from orchidhatch.control.ownership.writes import ClaimsWrite, PutRecord, RegisterGateway, RemoveGateway
 from orchidhatch.control.policy.gateway_directory import GatewayDirectory
 from orchidhatch.control.policy.lease_host import LeaseHost
-from orchidhatch.control.policy.lease_messages import ListedGateway, PolicyCopy
-from orchidhatch.control.policy.records import REPLICATED_RECORD_PREFIXES
+from orchidhatch.control.policy.policy_lease_messages import ListedGateway, PolicyCopy
+from orchidhatch.control.policy.policy_records import REPLICATED_RECORD_PREFIXES
 
 log = logging.getLogger("orchidhatch.policy")
 
--- a/orchidhatch/control/policy/registry_calls.py
+++ b/orchidhatch/control/policy/registry_calls.py
@@ -9,7 +9,7 @@
 from orchidhatch.control.policy.change_record import ChangeRecord, find_change
 from orchidhatch.control.policy.document import Policy, parse_document
 from orchidhatch.control.policy.fleet_status import FleetStatus, decode_fleet_status
-from orchidhatch.control.policy.records import (
+from orchidhatch.control.policy.policy_records import (
     CHANGE_TASK_RECORD,
     HISTORY_RECORD_PREFIX,
     Decision,
--- a/orchidhatch/control/policy/term_decision.py
+++ b/orchidhatch/control/policy/term_decision.py
@@ -13,7 +13,12 @@
 from orchidhatch.control.policy.document import document_digest
 from orchidhatch.control.policy.gateway_directory import GatewayDirectory
 from orchidhatch.control.policy.lease_host import LeaseHost
-from orchidhatch.control.policy.records import DECISION_RECORD, Decision, document_record, encode_decision
+from orchidhatch.control.policy.policy_records import (
+    DECISION_RECORD,
+    Decision,
+    document_record,
+    encode_decision,
+)
 from orchidhatch.control.policy.timing import ACTIVATION_DELAY_S
 
 log = logging.getLogger("orchidhatch.policy")
--- a/orchidhatch/control/registry/lease_expiry.py
+++ b/orchidhatch/control/registry/lease_expiry.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Sequence
 
 from orchidhatch.control.errors import ConflictError
-from orchidhatch.control.leases import LeaseTable
+from orchidhatch.control.lease_table import LeaseTable
 from orchidhatch.control.ownership.objects import Fence
 from orchidhatch.control.registry.endpoints import Endpoint, RemoveEndpoint
 from orchidhatch.control.registry.store import Outcome, Store
--- a/orchidhatch/control/registry/list_persistence.py
+++ b/orchidhatch/control/registry/list_persistence.py
@@ -44,7 +44,7 @@
 
     async def commit(self, batch: Batch) -> bool:
         """Make the batch durable, in a thread: heartbeats go on while the disk is slow."""
-        await self._server.run_in_turn(lambda: self._server.store.commit(batch))
+        await self._server.store_executor.run(lambda: self._server.store.commit(batch))
         return True
 
     async def catch_up(self) -> None:
@@ -82,7 +82,7 @@
         if self.is_behind:
             return True
         try:
-            await self._server.run_in_turn(lambda: self._server.store.commit(batch))
+            await self._server.store_executor.run(lambda: self._server.store.commit(batch))
         except StoreError as error:
             self._fall_behind(error)
             return False
@@ -114,7 +114,7 @@
             return
         self._tried_s = self._clock()
         try:
-            await self._server.run_in_turn(self._server.store.rewrite)
+            await self._server.store_executor.run(self._server.store.rewrite)
         except StoreError:
             self.failures += 1
             return
--- a/orchidhatch/control/registry/replication.py
+++ b/orchidhatch/control/registry/replication.py
@@ -182,7 +182,7 @@
         self.position = replace(self.position, confirmed_at_ms=self.wall_clock_ms())
         await self._persistence.catch_up()
         if time.monotonic() - self._saved_at_s >= POSITION_SAVE_INTERVAL_S:
-            await self._server.run_in_turn(self._save_position)
+            await self._server.store_executor.run(self._save_position)
 
     async def apply_event(self, store_name: str, line: bytes) -> None:
         """Make the list here what a watch event tells, as durable as the persistence promises.
@@ -205,8 +205,8 @@
         self.connected = True
         self._backoff_s = INITIAL_BACKOFF_S
         if is_new_store or store.generation != generation_before:
-            self._server.broadcast(whole=is_new_store or is_skipped)
-        await self._server.run_in_turn(self._save_position)
+            self._server.broadcaster.broadcast(whole_list=is_new_store or is_skipped)
+        await self._server.store_executor.run(self._save_position)
 
     def _check_event(self, event: WatchEvent, is_new_store: bool) -> None:
         """Raise an error where the event would take the list back, or is no base to go on from."""
--- a/orchidhatch/control/registry/service.py
+++ b/orchidhatch/control/registry/service.py
@@ -14,13 +14,13 @@
 from orchidhatch.control.http_client import Address
 from orchidhatch.control.http_response import Response
 from orchidhatch.control.http_server import EndpointListServer
-from orchidhatch.control.leases import CHECK_INTERVAL_S
-from orchidhatch.control.ownership.handlers import OwnershipHandlers
+from orchidhatch.control.lease_table import CHECK_INTERVAL_S
+from orchidhatch.control.ownership.ownership_handlers import OwnershipHandlers
 from orchidhatch.control.ownership.service import OwnershipService
-from orchidhatch.control.policy.handlers import PolicyHandlers
-from orchidhatch.control.policy.leases import GatewayPolicyLeases
+from orchidhatch.control.policy.gateway_policy_leases import GatewayPolicyLeases
+from orchidhatch.control.policy.policy_handlers import PolicyHandlers
 from orchidhatch.control.registry.backups import Backups
-from orchidhatch.control.registry.handlers import BackupHandlers, EndpointHandlers, TermHandlers
+from orchidhatch.control.registry.endpoint_handlers import BackupHandlers, EndpointHandlers, TermHandlers
 from orchidhatch.control.registry.lease_expiry import EndpointLeaseExpiry
 from orchidhatch.control.registry.peer_terms import PeerTermGuard
 from orchidhatch.control.registry.policy_lease_host import PolicyLeaseHost
@@ -56,7 +56,9 @@
         self.role = ReplicaRole(self._new_replicator(follow))
         self.peer_terms = PeerTermGuard(store, peers, self.now_s, lambda: self.replicator is not None)
         access = WriteAccess(self.role, self.peer_terms)
-        self.writes = WritePipeline(store, access, self.peer_terms, self.run_in_turn, self.broadcast)
+        self.writes = WritePipeline(
+            store, access, self.peer_terms, self.store_executor.run, self.broadcaster.broadcast
+        )
         self.lease_expiry = EndpointLeaseExpiry(store, self.writes, self.now_s)
         self.ownership = OwnershipService(store, self.writes, self.now_s)
         policy_host = PolicyLeaseHost(store, self.writes, access, self.peer_terms, self.now_s)
@@ -67,7 +69,7 @@
             self.policy_leases,
         ]
         self.promotion = Promotion(store, self.role, self.peer_terms, self._begin_term)
-        self._backup_handlers = BackupHandlers(store, self.run_in_turn, self.start_task)
+        self._backup_handlers = BackupHandlers(store, self.store_executor.run, self.tasks.start_for_request)
         self.backups = Backups(backups) if backups else None
         self._add_routes(access, policy_host)
 
@@ -85,7 +87,9 @@
 
     def _add_routes(self, access: WriteAccess, policy_host: PolicyLeaseHost) -> None:
         EndpointHandlers(self.store, self.writes, self.lease_expiry, access).add_routes(self.router)
-        TermHandlers(self.peer_terms, self.promotion, self.turn, self.start_task).add_routes(self.router)
+        TermHandlers(
+            self.peer_terms, self.promotion, self.store_executor.lock, self.tasks.start_for_request
+        ).add_routes(self.router)
         self._backup_handlers.add_routes(self.router)
         table = self.store.claims_table
         OwnershipHandlers(table, self.ownership, self.writes, access).add_routes(self.router)
@@ -100,11 +104,11 @@
         coroutines = [self.writes.run(), self._check_leases()]
         if self.peer_terms.has_peers:
             coroutines.append(self.peer_terms.keep_checking())
-        self.start_loops(coroutines)
+        self.tasks.start_loops(coroutines)
         replicator = self.replicator
         if replicator:
             copy_policies = self.policy_leases.replicate(lambda: replicator.upstream_address)
-            self.tasks += self.role.start([replicator.run(), copy_policies])
+            self.tasks.add(self.role.start([replicator.run(), copy_policies]))
 
     def _begin_term(self) -> None:
         """Begin anew after a promotion; all watches end, as they are of another term."""
@@ -174,7 +178,7 @@
         return self.format_metrics(
             "registry",
             {
-                "shed_total": self.rejected_requests + self.writes.rejected_writes,
+                "shed_total": self.requests.rejected + self.writes.rejected_writes,
                 **self.ownership.metrics(),
                 **self.policy_leases.metrics(),
                 **self._backup_handlers.metrics(),
--- a/orchidhatch/control/router.py
+++ b/orchidhatch/control/router.py
@@ -8,6 +8,7 @@
 from orchidhatch.control.http_response import Response
 
 PARAMETER = "{}"  # the segment of a pattern that stands for any segment of a path
+REST = "{*}"  # at a pattern's end: any number of further segments, also none
 
 
 @dataclass(frozen=True, slots=True)
@@ -21,25 +22,38 @@
     connection: Connection
 
 
+# A segment, or for REST all further segments.
+PathParameter = str | tuple[str, ...]
 # Called with the request and the path's parameters. The response is sent at once; a handler that returns
 # None has seen to it that the connection is answered later.
 Handler = Callable[..., Response | None]
 
 
+def match_segments(pattern: tuple[str, ...], path: tuple[str, ...]) -> list[PathParameter] | None:
+    """The segments of a path that stand at the pattern's parameters; None where it does not fit."""
+    if len(path) != len(pattern):
+        return None
+    pairs = list(zip(pattern, path, strict=True))
+    if any(expected not in (PARAMETER, segment) for expected, segment in pairs):
+        return None
+    return [segment for expected, segment in pairs if expected == PARAMETER]
+
+
 @dataclass(frozen=True, slots=True)
 class _Route:
     method: str
     pattern: tuple[str, ...]
     handler: Handler
 
-    def match(self, method: str, path: tuple[str, ...]) -> list[str] | None:
+    def match(self, method: str, path: tuple[str, ...]) -> list[PathParameter] | None:
         """The parameters of a path that fits, else None."""
-        if method != self.method or len(path) != len(self.pattern):
-            return None
-        pairs = list(zip(self.pattern, path, strict=True))
-        if any(expected not in (PARAMETER, segment) for expected, segment in pairs):
+        if method != self.method:
             return None
-        return [segment for expected, segment in pairs if expected == PARAMETER]
+        if self.pattern[-1] == REST:
+            length = len(self.pattern) - 1
+            first_parameters = match_segments(self.pattern[:length], path[:length])
+            return None if first_parameters is None else [*first_parameters, path[length:]]
+        return match_segments(self.pattern, path)
 
 
 class Router:
@@ -49,7 +63,7 @@
         self._routes: list[_Route] = []
 
     def add(self, method: str, pattern: str, handler: Handler) -> None:
-        """Add a route, as `add("POST", "/claims/{}/take", handler)`."""
+        """Add a route, as `add("POST", "/claims/{}/take", handler)`, or `"/door/{*}"` for all paths below."""
         self._routes.append(_Route(method, tuple(pattern.split("/")[1:]), handler))
 
     def dispatch(self, request: Request) -> bool:
--- a/orchidhatch/control/watch_broadcaster.py
+++ b/orchidhatch/control/watch_broadcaster.py
@@ -104,6 +104,15 @@
         if not connection.send_chunk(chunk):
             self.aborted += 1
 
+    def suspend(self) -> None:
+        """End all watches and accept none until `resume`."""
+        self.is_suspended = True
+        self.close_all()
+
+    def resume(self) -> None:
+        """Accept watches again."""
+        self.is_suspended = False
+
     def close_all(self) -> None:
         """End all watches once what they were sent has been read."""
         for connection in list(self.watches):
--- a/orchidhatch/faults/runner.py
+++ b/orchidhatch/faults/runner.py
@@ -12,9 +12,8 @@
 
 from orchidhatch.control.controller import task_records
 from orchidhatch.control.http_client import CallResult, NoResponse, call
-from orchidhatch.control.policy import change_record
+from orchidhatch.control.policy import change_record, policy_records
 from orchidhatch.control.policy import document as form
-from orchidhatch.control.policy import records as policy_records
 from orchidhatch.faults.fleet import Fleet
 from orchidhatch.faults.links import TcpRelay, Way
 from orchidhatch.faults.plan import SHIM_KINDS, WAY_KINDS, Customers, Fault, matching
--- a/orchidhatch/faults/seeded_defects.py
+++ b/orchidhatch/faults/seeded_defects.py
@@ -147,7 +147,7 @@
     """Neither the claim nor what was read before holds a decision back."""
     from orchidhatch.control.ownership.claims import ClaimsTransaction
     from orchidhatch.control.ownership.writes import PutRecord
-    from orchidhatch.control.policy.records import DECISION_RECORD
+    from orchidhatch.control.policy.policy_records import DECISION_RECORD
 
     ClaimsTransaction.check = lambda self, fence: None
     put_record = ClaimsTransaction.put_record
--- a/orchidhatch/faults/stepped.py
+++ b/orchidhatch/faults/stepped.py
@@ -36,8 +36,8 @@
 def record_effects(name: str, folder: Path) -> None:
     """Each write in a claim's name that was carried out, as its store shows it to readers."""
     from orchidhatch.control.policy.fleet_status import encode_fleet_status
-    from orchidhatch.control.policy.leases import GatewayPolicyLeases
-    from orchidhatch.control.policy.records import DECISION_RECORD
+    from orchidhatch.control.policy.gateway_policy_leases import GatewayPolicyLeases
+    from orchidhatch.control.policy.policy_records import DECISION_RECORD
     from orchidhatch.control.registry.store import Batch, Store
 
     recorder, plan, publish = Recorder(name, folder), Store.plan, Store.publish
--- a/orchidhatch/policy.py
+++ b/orchidhatch/policy.py
@@ -2,7 +2,7 @@
 
 import sys
 
-from orchidhatch.control.policy.cli import main
+from orchidhatch.control.policy.policy_cli import main
 
 if __name__ == "__main__":
     sys.exit(main())
--- a/tests/control/agent/lease_fixture.py
+++ b/tests/control/agent/lease_fixture.py
@@ -44,7 +44,7 @@
         registries = [address_of(self.registry)]
         management = self.gateway.management.server.sockets[0].getsockname()
         return PolicyLeaseHolder(
-            self.agent.database, self.agent, registries, management, self.setup, self.time
+            self.agent.database, self.agent.broadcaster, registries, management, self.setup, self.time
         )
 
     def reload_gateway(self) -> None:
--- a/tests/control/agent/test_gateway_steering.py
+++ b/tests/control/agent/test_gateway_steering.py
@@ -5,7 +5,7 @@
 import pytest
 
 from orchidhatch.control.agent import gateway_steering
-from orchidhatch.control.policy.records import DOCUMENT_RECORD_PREFIX
+from orchidhatch.control.policy.policy_records import DOCUMENT_RECORD_PREFIX
 from orchidhatch.control.policy.timing import LEASE_S
 from tests.control.agent.lease_fixture import leased_gateway
 from tests.control.policy.helpers import DIGEST_A, DOCUMENT_A, decide, decision_number
@@ -29,6 +29,8 @@
         agent, address = fixture.agent, fixture.holder.gateway.address
         fixture.holder.gateway.address = (HOST, 1)
         await fixture.advance(LEASE_S + 0.1, renews=False)
-        assert agent.watches_suspended  # and so the gateway's watch ends, and it suspends admission by itself
+        assert (
+            agent.broadcaster.is_suspended
+        )  # and so the gateway's watch ends, and it suspends admission by itself
         fixture.holder.gateway.address = address
-        assert await fixture.advance() == 200 and not agent.watches_suspended
+        assert await fixture.advance() == 200 and not agent.broadcaster.is_suspended
--- a/tests/control/agent/test_policy_documents.py
+++ b/tests/control/agent/test_policy_documents.py
@@ -12,7 +12,7 @@
 from orchidhatch.control.agent.policy_documents import PolicyDocuments
 from orchidhatch.control.http_client import CallResult, HttpResponse, NoResponse
 from orchidhatch.control.policy.document import document_digest
-from orchidhatch.control.policy.records import CHANGE_TASK_RECORD, DOCUMENT_RECORD_PREFIX
+from orchidhatch.control.policy.policy_records import CHANGE_TASK_RECORD, DOCUMENT_RECORD_PREFIX
 from tests.control.agent.lease_fixture import leased_gateway
 from tests.control.policy.helpers import DIGEST_A, DOCUMENT_A
 from tests.control.registry.helpers import address_of, call
--- a/tests/control/agent/test_policy_lease.py
+++ b/tests/control/agent/test_policy_lease.py
@@ -9,7 +9,7 @@
 
 from orchidhatch.control.agent.gateway_config import GatewayConfigFile
 from orchidhatch.control.agent.policy_lease import RenewalAnswer
-from orchidhatch.control.policy.records import DOCUMENT_RECORD_PREFIX
+from orchidhatch.control.policy.policy_records import DOCUMENT_RECORD_PREFIX
 from orchidhatch.control.policy.timing import (
     ABSENT_AFTER_S,
     AGENT_SILENCE_LIMIT_S,
--- a/tests/control/agent/test_service.py
+++ b/tests/control/agent/test_service.py
@@ -104,7 +104,7 @@
 
         agent.store.commit = slow
         await register_endpoint(registry, "s-1")
-        await until(lambda: agent.turn.locked())
+        await until(lambda: agent.store_executor.lock.locked())
         assert (await call(address_of(agent), "GET /healthcheck"))[0] == 200
         watcher = await Watcher.open(address_of(agent))
         assert not (await watcher.news())["instances"]
--- a/tests/control/controller/test_task_context.py
+++ b/tests/control/controller/test_task_context.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from orchidhatch.control.controller import gateway_client
+from orchidhatch.control.controller import gateway_fleet_client
 from orchidhatch.control.controller.drain import Drain
 from orchidhatch.control.controller.errors import FencedError, StaleRecordError, UnavailableError
-from orchidhatch.control.controller.gateway_client import GatewayClient
+from orchidhatch.control.controller.gateway_fleet_client import GatewayClient
 from orchidhatch.control.controller.registry_api import RegistryApi
 from orchidhatch.control.controller.session import Session
 from orchidhatch.control.controller.shards import SHARDS, OwnedShards
@@ -103,7 +103,7 @@
         calls.append((agent, method, path, body))
         return HttpResponse(HTTPStatus.OK, {}) if agent == AGENTS[0] else NoResponse("refused")
 
-    monkeypatch.setattr(gateway_client, "call", call)
+    monkeypatch.setattr(gateway_fleet_client, "call", call)
     context = context_with(FakeRegistryClient(NoResponse("unused")))
     missing = await context.command_gateways(new_task(), "s-1", GatewayCommand.WITHDRAW)
     assert missing == ["127.0.0.1:7101"]
@@ -117,7 +117,7 @@
     async def call(agent: Address, *_: object) -> CallResult:
         return HttpResponse(HTTPStatus.CONFLICT, {"error": f"claim {SHARDS[0]} is at epoch 9 here, not 7"})
 
-    monkeypatch.setattr(gateway_client, "call", call)
+    monkeypatch.setattr(gateway_fleet_client, "call", call)
     context = context_with(FakeRegistryClient(NoResponse("unused")))
     with pytest.raises(FencedError, match=r"127\.0\.0\.1:710"):
         await context.command_gateways(new_task(), "s-1", GatewayCommand.RESTORE)
@@ -129,7 +129,7 @@
     async def call(agent: Address, *_: object) -> CallResult:
         return HttpResponse(HTTPStatus.CONFLICT, {"error": "act 5 on backends/s-1 comes after 6"})
 
-    monkeypatch.setattr(gateway_client, "call", call)
+    monkeypatch.setattr(gateway_fleet_client, "call", call)
     context = context_with(FakeRegistryClient(NoResponse("unused")))
     missing = await context.command_gateways(new_task(), "s-1", GatewayCommand.RESTORE)
     assert missing == ["127.0.0.1:7100", "127.0.0.1:7101"]
--- a/tests/control/policy/helpers.py
+++ b/tests/control/policy/helpers.py
@@ -11,7 +11,7 @@
 from orchidhatch.control.ownership.writes import PutRecord
 from orchidhatch.control.policy.change_record import Gate, new_change
 from orchidhatch.control.policy.document import document_digest, parse_document
-from orchidhatch.control.policy.records import ACTIVATED_RECORD, CHANGE_TASK_RECORD, DECISION_RECORD
+from orchidhatch.control.policy.policy_records import ACTIVATED_RECORD, CHANGE_TASK_RECORD, DECISION_RECORD
 from orchidhatch.control.policy.timing import ABSENT_AFTER_S
 from orchidhatch.control.registry.service import Registry
 from tests.control.agent.helpers import until
--- a/tests/control/policy/test_change.py
+++ b/tests/control/policy/test_change.py
@@ -9,7 +9,7 @@
 from orchidhatch.control.ownership.objects import Fence
 from orchidhatch.control.ownership.writes import PutRecord
 from orchidhatch.control.policy.change_record import Gate
-from orchidhatch.control.policy.records import (
+from orchidhatch.control.policy.policy_records import (
     CHANGE_TASK_RECORD,
     DECISION_RECORD,
     HISTORY_RECORD_PREFIX,
--- a/tests/control/policy/test_change_steps.py
+++ b/tests/control/policy/test_change_steps.py
@@ -12,7 +12,7 @@
     new_change,
 )
 from orchidhatch.control.policy.fleet_status import FleetStatus, GatewayState, GatewayStatus
-from orchidhatch.control.policy.records import (
+from orchidhatch.control.policy.policy_records import (
     CHANGE_TASK_RECORD,
     DECISION_RECORD,
     Decision,
--- a/tests/control/policy/test_leases.py
+++ b/tests/control/policy/test_gateway_policy_leases.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 from orchidhatch.control.ownership.writes import PutRecord
-from orchidhatch.control.policy.records import ACTIVATED_RECORD, document_record
+from orchidhatch.control.policy.policy_records import ACTIVATED_RECORD, document_record
 from orchidhatch.control.policy.timing import ABSENT_AFTER_S, LEASE_S
 from tests.control.agent.helpers import until
 from tests.control.policy.helpers import (
--- a/tests/control/policy/test_history.py
+++ b/tests/control/policy/test_history.py
@@ -2,7 +2,12 @@
 
 from orchidhatch.control.controller.registry_api import StoredRecord
 from orchidhatch.control.policy.history import MAX_HISTORY_RECORDS, expired_records
-from orchidhatch.control.policy.records import Decision, document_record, encode_decision, history_record
+from orchidhatch.control.policy.policy_records import (
+    Decision,
+    document_record,
+    encode_decision,
+    history_record,
+)
 
 
 def decided(number: int, digest: str) -> StoredRecord:
--- a/tests/control/policy/test_lease_host.py
+++ b/tests/control/policy/test_lease_host.py
@@ -16,8 +16,8 @@
 from orchidhatch.control.ownership.writes import ClaimsWrite, PutRecord, RegisterGateway, RemoveGateway
 from orchidhatch.control.policy import policy_replication
 from orchidhatch.control.policy.gateway_directory import GatewayDirectory
-from orchidhatch.control.policy.handlers import PolicyHandlers
-from orchidhatch.control.policy.leases import GatewayPolicyLeases
+from orchidhatch.control.policy.gateway_policy_leases import GatewayPolicyLeases
+from orchidhatch.control.policy.policy_handlers import PolicyHandlers
 from orchidhatch.control.policy.policy_replication import PolicyReplication
 from orchidhatch.control.policy.timing import ABSENT_AFTER_S
 from orchidhatch.control.router import Request, Router
--- a/tests/control/policy/test_cli.py
+++ b/tests/control/policy/test_policy_cli.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from orchidhatch.control.policy.records import CHANGE_TASK_RECORD
+from orchidhatch.control.policy.policy_records import CHANGE_TASK_RECORD
 from orchidhatch.control.policy.timing import ABSENT_AFTER_S
 from orchidhatch.control.registry.service import Registry
 from tests.control.policy.helpers import (
--- a/tests/control/test_http_server.py
+++ b/tests/control/test_http_server.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from orchidhatch.control import http_connection, http_server, watch_broadcaster
+from orchidhatch.control import http_connection, list_handlers, watch_broadcaster
 from orchidhatch.control.http_response import STORE_HEADER
 from tests.control.registry.helpers import Watcher, address_of, call, named, raw, serving
 from tests.control.test_schemas import body
@@ -116,7 +116,7 @@
     monkeypatch.setattr(http_connection, "REQUEST_TIMEOUT_S", 0.05)
     async with serving(path) as registry:
         assert (await raw(address_of(registry), data))[0] == 408
-        while registry.request_connections:
+        while registry.requests.open:
             await asyncio.sleep(0.001)
 
 
@@ -132,17 +132,17 @@
             loop = asyncio.get_running_loop()
             await loop.sock_connect(slow, at)
             await loop.sock_sendall(slow, b"GET /catalog/members?watch=1 HTTP/1.1\r\nHost: x\r\n\r\n")
-            while not registry.watches:
+            while not registry.broadcaster.watches:
                 await asyncio.sleep(0.001)
             quick = await Watcher.open(at)
             await quick.news()
             for _ in range(100):  # what the kernel holds is not ours to bound
-                for connection in list(registry.watches):
+                for connection in list(registry.broadcaster.watches):
                     registry.broadcaster.send(connection, http_connection.encode_chunk(b" " * 60_000 + b"\n"))
                 await quick.chunk()
                 if registry.broadcaster.aborted:
                     break
-            assert registry.broadcaster.aborted == 1 and len(registry.watches) == 1
+            assert registry.broadcaster.aborted == 1 and len(registry.broadcaster.watches) == 1
             await call(at, "POST /entries", body(instanceId="s-1"))
             assert named(await quick.news()) == {"s-1": "SERVING"}
 
@@ -155,19 +155,19 @@
         at = address_of(registry)
         status, headers, _ = await raw(at, b"GET /healthcheck HTTP/1.1\r\nHost: x\r\n\r\n")
         assert status == 503 and 1 <= int(headers["retry-after"]) <= 5
-        assert registry.rejected_requests == 1
+        assert registry.requests.rejected == 1
 
 
 async def test_watch_when_there_are_too_many_then_is_rejected(
     path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(http_server, "MAX_WATCHES", 1)
+    monkeypatch.setattr(list_handlers, "MAX_WATCHES", 1)
     async with serving(path) as registry:
         at = address_of(registry)
         first = await Watcher.open(at)
         status, response = await call(at, "GET /catalog/members?watch=1")
         assert status == 503 and "too many watches" in response["error"]
-        assert await first.news() and registry.rejected_requests == 1
+        assert await first.news() and registry.requests.rejected == 1
 
 
 async def test_watch_when_it_names_another_store_then_begins_with_the_whole_list(path: Path) -> None:
--- a/tests/control/test_leases.py
+++ b/tests/control/test_lease_table.py
@@ -2,7 +2,7 @@
 
 from msgspec.structs import replace
 
-from orchidhatch.control.leases import CHECK_INTERVAL_S, DEFAULT_LIMIT, LeaseTable
+from orchidhatch.control.lease_table import CHECK_INTERVAL_S, DEFAULT_LIMIT, LeaseTable
 from orchidhatch.control.registry.endpoints import Endpoint
 
 
--- a/tests/control/test_router.py
+++ b/tests/control/test_router.py
@@ -45,6 +45,20 @@
     assert asked.connection.responses == []
 
 
+@pytest.mark.parametrize(
+    ("path", "rest"),
+    [(("door",), ()), (("door", "stats"), ("stats",)), (("door", "backends", "x"), ("backends", "x"))],
+)
+def test_router_hands_over_the_rest_of_a_path(path: tuple[str, ...], rest: tuple[str, ...]) -> None:
+    router = Router()
+    router.add("POST", "/door/{*}", lambda request, further: Response(200, further))
+    request_below = request("POST", *path)
+    assert router.dispatch(request_below)
+    assert request_below.connection.responses == [Response(200, rest)]
+    assert not router.dispatch(request("POST", "doors", *path[1:]))
+    assert not router.dispatch(request("GET", *path))
+
+
 def test_router_when_a_handler_answers_later_then_sends_nothing() -> None:
     router = Router()
     router.add("GET", "/claims", lambda request: None)
--- a/tests/control/test_supervision.py
+++ b/tests/control/test_supervision.py
@@ -17,7 +17,7 @@
 from orchidhatch.control.http_client import decode_body
 from orchidhatch.control.ownership.objects import Gateway
 from orchidhatch.control.ownership.writes import RegisterGateway
-from orchidhatch.control.policy.leases import GatewayPolicyLeases
+from orchidhatch.control.policy.gateway_policy_leases import GatewayPolicyLeases
 from orchidhatch.control.registry.peer_terms import Fenced
 from orchidhatch.control.supervision import log_end, repeat
 from tests.control.agent.helpers import register_endpoint
