--- a/orchidhatch/control/agent/gateway_steering.py
+++ b/orchidhatch/control/agent/gateway_steering.py
@@ -14,7 +14,7 @@
 from orchidhatch.control.agent.gateway_config import GatewayConfigFile
 from orchidhatch.control.agent.gateway_process import GatewayProcess
 from orchidhatch.control.agent.policy_documents import PolicyDocuments
-from orchidhatch.control.agent.policy_lease import PolicyLease
+from orchidhatch.control.agent.policy_lease import PolicyLeaseClient
 from orchidhatch.control.policy.document import InvalidPolicyError
 from orchidhatch.control.policy.timing import AGENT_START_GRACE_S
 
@@ -46,7 +46,7 @@
         gateway: GatewayClient,
         config_file: GatewayConfigFile,
         process: GatewayProcess,
-        lease: PolicyLease,
+        lease: PolicyLeaseClient,
         documents: PolicyDocuments,
         watches: EndpointWatches,
         clock: Callable[[], float],
--- a/orchidhatch/control/agent/policy_lease.py
+++ b/orchidhatch/control/agent/policy_lease.py
@@ -17,57 +17,18 @@
 from orchidhatch.control.agent.policy_decision import PolicyDecision
 from orchidhatch.control.error_signs import OTHER_INCARNATION_SIGN
 from orchidhatch.control.http_client import CallResult
+from orchidhatch.control.policy.policy_lease_messages import (
+    ListedGateway,
+    PolicyLeaseAnswer,
+    PolicyLeaseRenewal,
+)
 from orchidhatch.control.policy.timing import LEASE_S
 from orchidhatch.control.registry_client import RegistryClient
 
 log = logging.getLogger("orchidhatch.policy_lease")
 
 
-class RenewalRequest(msgspec.Struct, rename="camel", omit_defaults=True):
-    """A renewal, with how the gateway is; field names and which are left out are on the wire.
-
-    `has` is the digest that the gateway serves by, `number` and `digest` the decision that the agent knows,
-    `left_ms` the time until its activation if that is known, `ready` the documents that are checked, `flaw` a
-    document that was rejected and why, `text` the document that the registry asked for.
-    """
-
-    incarnation: str = msgspec.field(name="life")
-    has: str
-    number: int
-    digest: str
-    ready: list[str]
-    flaw: str
-    counts: tuple[int, int, int]
-    serves: bool
-    left_ms: int | None = None
-    text: str | None = None
-
-
-class RenewalAnswer(msgspec.Struct, rename="camel"):
-    """A registry's answer to a renewal.
-
-    `is_certain` is False while the registry does not know which decision holds; the fields about it are then
-    missing. `prepare` is a document to have ready, `want` one that the registry asks for.
-    """
-
-    is_certain: bool = msgspec.field(name="sure")
-    want: str
-    prepare: str = ""
-    number: int = 0
-    digest: str = ""
-    previous_digest: str = msgspec.field(name="before", default="")
-    left_ms: int | None = None
-
-
-class GatewayRegistration(msgspec.Struct):
-    """The entry of a gateway in the registry's gateway directory."""
-
-    name: str
-    incarnation: str = msgspec.field(name="life")
-    zone: str
-
-
-class PolicyLease:
+class PolicyLeaseClient:
     """The lease and the decision of one gateway, and which documents the registry wants of its agent."""
 
     def __init__(
@@ -114,25 +75,25 @@
             return None
         return round((activation_time_s - self._clock()) * 1000)
 
-    async def renew(self, request: RenewalRequest) -> None:
+    async def renew(self, renewal: PolicyLeaseRenewal) -> None:
         """Renew the lease, or enter the gateway directory where the registry does not list this agent's.
 
         Raises sqlite3.Error where a new decision cannot be saved; the lease is not extended then.
         """
         sent_s = self._clock()
         path = f"/doors/{quote(self._gateway_name, safe='')}/renew"
-        result = await self._registry.call("POST", path, msgspec.to_builtins(request))
+        result = await self._registry.call("POST", path, msgspec.to_builtins(renewal))
         if is_not_registered(result):
             await self._register()
         elif result.ok:
-            await self.apply_answer(msgspec.convert(result.value, RenewalAnswer), sent_s)
+            await self.apply_answer(msgspec.convert(result.value, PolicyLeaseAnswer), sent_s)
 
-    async def apply_answer(self, answer: RenewalAnswer, sent_s: float) -> None:
+    async def apply_answer(self, answer: PolicyLeaseAnswer, sent_s: float) -> None:
         """Extend the lease by the answer to a renewal that was sent at `sent_s`.
 
         An answer that is behind what was known before is ignored. Raises sqlite3.Error as `renew` does.
         """
-        self.requested_digest = answer.want
+        self.requested_digest = answer.requested_digest
         if answer.is_certain:
             if answer.number < self.decision.number:
                 log.warning(
@@ -146,15 +107,15 @@
         needed = {self.decision.digest, self.decision.previous_digest, answer.prepare}
         self.needed_digests = frozenset(needed - {""})
 
-    async def _apply_decision(self, answer: RenewalAnswer, sent_s: float) -> None:
-        left_s = answer.left_ms / 1000
+    async def _apply_decision(self, answer: PolicyLeaseAnswer, sent_s: float) -> None:
+        remaining_s = answer.remaining_ms / 1000
         is_new = answer.number != self.decision.number
         self.decision = self.decision.updated(
             answer.number,
             answer.digest,
             answer.previous_digest,
-            earliest_s=sent_s + left_s,
-            latest_s=self._clock() + left_s,
+            earliest_s=sent_s + remaining_s,
+            latest_s=self._clock() + remaining_s,
         )
         if is_new:
             await self._save_decision()
@@ -167,7 +128,7 @@
         )
 
     async def _register(self) -> None:
-        registration = GatewayRegistration(self._gateway_name, self.incarnation, self._zone)
+        registration = ListedGateway(self._gateway_name, self.incarnation, self._zone)
         await self._registry.call("POST", "/doors", msgspec.to_builtins(registration))
 
 
--- a/orchidhatch/control/agent/policy_lease_holder.py
+++ b/orchidhatch/control/agent/policy_lease_holder.py
@@ -11,6 +11,8 @@
 import time
 from collections.abc import Callable, Coroutine, Sequence
 
+from msgspec import UNSET
+
 from orchidhatch.control.agent.cache_database import CacheDatabase
 from orchidhatch.control.agent.config_checker import ConfigChecker
 from orchidhatch.control.agent.gateway_client import GatewayClient
@@ -19,8 +21,9 @@
 from orchidhatch.control.agent.gateway_setup import GatewaySetup
 from orchidhatch.control.agent.gateway_steering import EndpointWatches, GatewaySteering
 from orchidhatch.control.agent.policy_documents import PolicyDocuments
-from orchidhatch.control.agent.policy_lease import PolicyLease, RenewalRequest
+from orchidhatch.control.agent.policy_lease import PolicyLeaseClient
 from orchidhatch.control.http_client import Address
+from orchidhatch.control.policy.policy_lease_messages import PolicyLeaseRenewal
 from orchidhatch.control.policy.timing import LEASE_S, RENEWALS_PER_LEASE
 from orchidhatch.control.registry_client import RegistryClient
 
@@ -48,7 +51,7 @@
         self._clock = clock
         self._checker = ConfigChecker(setup.check_command, setup.config_file)
         self.gateway = GatewayClient(gateway_address)
-        self.lease = PolicyLease(database, registry, setup.name, setup.zone, clock)
+        self.lease = PolicyLeaseClient(database, registry, setup.name, setup.zone, clock)
         self.documents = PolicyDocuments(database, registry, self._check_document)
         self.steering = GatewaySteering(
             self.gateway,
@@ -66,7 +69,7 @@
 
     async def renew(self) -> None:
         """Renew the lease, with how the gateway is. Raises sqlite3.Error."""
-        await self.lease.renew(self._renewal_request())
+        await self.lease.renew(self._renewal())
 
     async def prepare_documents(self) -> None:
         """Have the documents ready that the registry has named. Raises OSError or sqlite3.Error.
@@ -88,20 +91,21 @@
             "door_serves": int(self.gateway.state.serves),
         }
 
-    def _renewal_request(self) -> RenewalRequest:
+    def _renewal(self) -> PolicyLeaseRenewal:
         counts = self.gateway.request_counts
         rejected = self.documents.rejected
-        return RenewalRequest(
+        remaining_ms = self.lease.time_until_activation_ms()
+        return PolicyLeaseRenewal(
             incarnation=self.lease.incarnation,
-            has=self.gateway.state.digest,
+            active_digest=self.gateway.state.digest,
             number=self.lease.decision.number,
             digest=self.lease.decision.digest,
-            ready=list(self.documents.checked),
-            flaw=str(rejected) if rejected else "",
+            ready=tuple(self.documents.checked),
+            document_error=str(rejected) if rejected else "",
             counts=(counts.answered, counts.deferred, counts.errored),
             serves=self.gateway.state.serves,
-            left_ms=self.lease.time_until_activation_ms(),
-            text=self.documents.texts.get(self.lease.requested_digest),
+            remaining_ms=UNSET if remaining_ms is None else remaining_ms,
+            document_text=self.documents.texts.get(self.lease.requested_digest, UNSET),
         )
 
     async def _check_document(self, digest: str) -> None:
--- a/orchidhatch/control/field_types.py
+++ b/orchidhatch/control/field_types.py
@@ -2,6 +2,7 @@
 
 import ipaddress
 import re
+from collections.abc import Mapping
 from enum import StrEnum
 from typing import Annotated, ClassVar
 
@@ -69,6 +70,15 @@
             return len(text.encode(errors="replace")) <= MAX_RECORD_BYTES
 
 
+def check_fields(message: msgspec.Struct, checks: Mapping[str, Check]) -> None:
+    """Raise ValueError, with the name on the wire, for a field that is given and fails its check."""
+    wire_names = dict(zip(message.__struct_fields__, message.__struct_encode_fields__, strict=True))
+    for attribute, check in checks.items():
+        value = getattr(message, attribute)
+        if value is not msgspec.UNSET and not passes(check, value):
+            raise ValueError(f"{wire_names[attribute]}: {check}")
+
+
 class Message(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """A request's body. `CHECKS` names, by attribute, checks that the fields' types do not express."""
 
@@ -76,8 +86,4 @@
 
     def __post_init__(self) -> None:
         """Raise ValueError, which msgspec turns into a validation error, for a field that fails its check."""
-        wire_names = dict(zip(self.__struct_fields__, self.__struct_encode_fields__, strict=True))
-        for attribute, check in self.CHECKS.items():
-            value = getattr(self, attribute)
-            if value is not msgspec.UNSET and not passes(check, value):
-                raise ValueError(f"{wire_names[attribute]}: {check}")
+        check_fields(self, self.CHECKS)
--- a/orchidhatch/control/policy/fleet_status.py
+++ b/orchidhatch/control/policy/fleet_status.py
@@ -22,13 +22,21 @@
     ABSENT = "absent"
 
 
-def state_by_age(age_s: float) -> GatewayState:
-    """The state of a gateway that last renewed its lease so long ago."""
-    if age_s <= LEASE_S:
+def is_absent(age_s: float) -> bool:
+    """Whether a gateway that last renewed its lease so long ago admits no request any more."""
+    return age_s > ABSENT_AFTER_S
+
+
+def state_by_age(age_s: float, has_renewed: bool) -> GatewayState:
+    """The state of a gateway that last renewed its lease so long ago.
+
+    Where it has not renewed since the registry's start, the age is the registry's, and tells of no lease.
+    """
+    if is_absent(age_s):
+        return GatewayState.ABSENT
+    if has_renewed and age_s <= LEASE_S:
         return GatewayState.PRESENT
-    if age_s <= ABSENT_AFTER_S:
-        return GatewayState.SILENT
-    return GatewayState.ABSENT
+    return GatewayState.SILENT
 
 
 class GatewayStatus(Struct, kw_only=True, frozen=True):
--- a/orchidhatch/control/policy/gateway_directory.py
+++ b/orchidhatch/control/policy/gateway_directory.py
@@ -3,9 +3,10 @@
 from dataclasses import dataclass
 
 from orchidhatch.control.ownership.objects import Gateway
-from orchidhatch.control.policy.fleet_status import GatewayState, GatewayStatus, state_by_age
+from orchidhatch.control.policy.change_record import EndCounts
+from orchidhatch.control.policy.fleet_status import GatewayStatus, is_absent, state_by_age
 from orchidhatch.control.policy.lease_host import LeaseHost
-from orchidhatch.control.policy.policy_lease_messages import ListedGateway, PolicyReport
+from orchidhatch.control.policy.policy_lease_messages import ListedGateway, PolicyLeaseRenewal
 from orchidhatch.control.policy.timing import ABSENT_AFTER_S
 
 
@@ -14,7 +15,7 @@
     """A report, and when it came by this process's clock."""
 
     received_at_s: float
-    report: PolicyReport
+    report: PolicyLeaseRenewal
 
 
 class GatewayDirectory:
@@ -46,7 +47,7 @@
             for gateway in self._listed.values()
         ]
 
-    def receive(self, name: str, report: PolicyReport) -> None:
+    def receive(self, name: str, report: PolicyLeaseRenewal) -> None:
         """Keep a report, which also renews the gateway's lease."""
         self._reports[name] = ReceivedReport(self._host.clock(), report)
 
@@ -54,12 +55,12 @@
         """Drop the report of a gateway that was removed."""
         self._reports.pop(name, None)
 
-    def report_of(self, name: str) -> PolicyReport | None:
+    def report_of(self, name: str) -> PolicyLeaseRenewal | None:
         """What a gateway's agent reported last; None where it has not since the start."""
         received = self._reports.get(name)
         return received.report if received else None
 
-    def reports(self) -> list[PolicyReport]:
+    def reports(self) -> list[PolicyLeaseRenewal]:
         """The last report of each gateway that has sent one."""
         return [received.report for received in self._reports.values()]
 
@@ -71,7 +72,7 @@
 
     def may_serve(self, name: str) -> bool:
         """Whether a listed gateway's lease may still be valid."""
-        return name in self._listed and state_by_age(self.age_s(name)) is not GatewayState.ABSENT
+        return name in self._listed and not is_absent(self.age_s(name))
 
     def all_reported(self) -> bool:
         """Whether every gateway that may still serve has reported what it knows."""
@@ -87,19 +88,19 @@
         age_s = self.age_s(gateway.name)
         age_ms = round(age_s * 1000)
         report = self.report_of(gateway.name)
+        state = state_by_age(age_s, has_renewed=report is not None)
         if report is None:
-            state = GatewayState.SILENT if age_s <= ABSENT_AFTER_S else GatewayState.ABSENT
             return GatewayStatus(name=gateway.name, zone=gateway.zone, age_ms=age_ms, state=state)
         return GatewayStatus(
             name=gateway.name,
             zone=gateway.zone,
             age_ms=age_ms,
-            state=state_by_age(age_s),
+            state=state,
             active_digest=report.active_digest,
             number=report.number,
             ready=report.ready,
             document_error=report.document_error,
-            counts=report.counts,
+            counts=EndCounts(*report.counts),
             serves=report.serves,
         )
 
--- a/orchidhatch/control/policy/gateway_policy_leases.py
+++ b/orchidhatch/control/policy/gateway_policy_leases.py
@@ -22,7 +22,11 @@
 from orchidhatch.control.policy.fleet_status import FleetStatus, GatewayState
 from orchidhatch.control.policy.gateway_directory import GatewayDirectory
 from orchidhatch.control.policy.lease_host import LeaseHost
-from orchidhatch.control.policy.policy_lease_messages import PolicyLease, PolicyReport
+from orchidhatch.control.policy.policy_lease_messages import (
+    PolicyLeaseAnswer,
+    PolicyLeaseRenewal,
+    UncertainPolicyLeaseAnswer,
+)
 from orchidhatch.control.policy.policy_records import ACTIVATED_RECORD, CHANGE_TASK_RECORD, DECISION_RECORD
 from orchidhatch.control.policy.policy_replication import PolicyReplication
 from orchidhatch.control.policy.term_decision import TermDecision
@@ -32,6 +36,8 @@
 
 MAX_QUOTED_NAME_CHARACTERS = 80
 
+LeaseAnswer = PolicyLeaseAnswer | UncertainPolicyLeaseAnswer
+
 
 class GatewayPolicyLeases:
     """The policy leases of one registry's gateways."""
@@ -66,8 +72,8 @@
             limit = f"{ABSENT_AFTER_S:.0f} s after its last renewal"
             raise ConflictError(f"{gateway} may still serve; it is absent {limit}")
 
-    def renew(self, gateway: str, report: PolicyReport) -> PolicyLease:
-        """Renew a gateway's lease and learn from its report.
+    def renew(self, gateway: str, renewal: PolicyLeaseRenewal) -> LeaseAnswer:
+        """Renew a gateway's lease and learn from what its agent reports with it.
 
         Raises NotFoundError for a gateway that is not listed, ConflictError for another agent than its own.
         """
@@ -75,28 +81,28 @@
         name = gateway[:MAX_QUOTED_NAME_CHARACTERS]
         if listed is None:
             raise NotFoundError(f"{name} is not listed as a gateway")
-        if listed.incarnation != report.incarnation:
+        if listed.incarnation != renewal.incarnation:
             raise ConflictError(f"{name} is kept by {OTHER_INCARNATION_SIGN}")
         self._renewal_count += 1
-        self.directory.receive(gateway, report)
-        self._learn_activation(report)
+        self.directory.receive(gateway, renewal)
+        self._learn_activation(renewal)
         self._settle()
-        return self._lease(gateway)
+        return self._answer(gateway)
 
-    def _lease(self, gateway: str) -> PolicyLease:
+    def _answer(self, gateway: str) -> LeaseAnswer:
         prepare = self._document_to_prepare()
         decision = self.current_decision.get()
         if not self.current_decision.is_certain() and not self._is_copy_valid():
-            wanted = self.term_decision.wanted_document(gateway)
-            return PolicyLease(is_certain=False, prepare="", wanted=wanted)
+            requested = self.term_decision.requested_document(gateway)
+            return UncertainPolicyLeaseAnswer(requested_digest=requested)
         remaining_ms = self._remaining_ms()
-        return PolicyLease(
+        return PolicyLeaseAnswer(
             is_certain=remaining_ms is not None,
             number=decision.number,
             digest=decision.digest,
             previous_digest=decision.previous_digest,
             prepare=prepare,
-            wanted="",
+            requested_digest="",
             remaining_ms=remaining_ms,
         )
 
@@ -173,13 +179,13 @@
         self.current_decision.activate_in(self.current_decision.get().activation_delay_ms / 1000)
         log.info("policy decided: decision=%s", text)
 
-    def _learn_activation(self, report: PolicyReport) -> None:
+    def _learn_activation(self, renewal: PolicyLeaseRenewal) -> None:
         """Take the activation time from an agent, after this registry was restarted since the decision."""
         is_unknown = self.current_decision.is_certain() and self.current_decision.remaining_s() is None
-        if not is_unknown or report.remaining_ms is msgspec.UNSET:
+        if not is_unknown or renewal.remaining_ms is msgspec.UNSET:
             return
-        if report.number == self.current_decision.get().number:
-            self.current_decision.activate_in(report.remaining_ms / 1000)
+        if renewal.number == self.current_decision.get().number:
+            self.current_decision.activate_in(renewal.remaining_ms / 1000)
 
     def _settle(self) -> None:
         """Decide again in this term, and set an activation time that nobody knows, as soon as is possible."""
--- a/orchidhatch/control/policy/policy_handlers.py
+++ b/orchidhatch/control/policy/policy_handlers.py
@@ -2,16 +2,13 @@
 
 from http import HTTPStatus
 
-import msgspec
-
 from orchidhatch.control.http_response import Response
 from orchidhatch.control.ownership.writes import RemoveGateway
 from orchidhatch.control.policy.fleet_status import encode_fleet_status
 from orchidhatch.control.policy.gateway_policy_leases import GatewayPolicyLeases
 from orchidhatch.control.policy.lease_host import LeaseHost
-from orchidhatch.control.policy.policy_lease_messages import PolicyReport
 from orchidhatch.control.router import Request, Router
-from orchidhatch.control.schemas import name, read_gateway_report, read_register_gateway
+from orchidhatch.control.schemas import name, read_policy_lease_renewal, read_register_gateway
 
 
 class PolicyHandlers:
@@ -35,9 +32,9 @@
         self._host.enqueue(write, request.connection)
 
     def _renew_lease(self, request: Request, gateway: str) -> Response:
-        report = msgspec.convert(read_gateway_report(request.body), PolicyReport)
+        renewal = read_policy_lease_renewal(request.body)
         self._host.check_may_renew()
-        return Response(HTTPStatus.OK, self._leases.renew(gateway, report))
+        return Response(HTTPStatus.OK, self._leases.renew(gateway, renewal))
 
     def _remove_gateway(self, request: Request, gateway: str) -> None:
         write = RemoveGateway(name("door", gateway))
--- a/orchidhatch/control/policy/term_decision.py
+++ b/orchidhatch/control/policy/term_decision.py
@@ -59,15 +59,15 @@
         stored = KnownDecision(decision.number, decision.digest) if decision else KnownDecision(0, "")
         return max([stored, *known])
 
-    def wanted_document(self, gateway: str) -> str:
+    def requested_document(self, gateway: str) -> str:
         """The digest of a document that must be stored before it can be decided, if this gateway has it."""
         digest = self.highest_known().digest
         report = self._directory.report_of(gateway)
-        is_wanted = bool(digest) and not self._has_document(digest)
-        return digest if is_wanted and digest in report.ready else ""
+        is_missing = bool(digest) and not self._has_document(digest)
+        return digest if is_missing and digest in report.ready else ""
 
     def advance(self) -> None:
-        """Store a reported document that is wanted, or write the decision, as soon as that is possible."""
+        """Store a reported document that is missing, or write the decision, as soon as that is possible."""
         if self._store_reported_document():
             return
         digest = self.highest_known().digest
@@ -78,12 +78,12 @@
         self.is_writing = self._host.enqueue_internal(write)
 
     def _store_reported_document(self) -> bool:
-        """Whether a gateway has sent the wanted document, which is being stored now."""
-        wanted = self.highest_known().digest
+        """Whether a gateway has sent the missing document, which is being stored now."""
+        digest = self.highest_known().digest
         for report in self._directory.reports():
             text = report.document_text
-            if text and document_digest(text) == wanted and not self._has_document(wanted):
-                write = PutRecord(document_record(wanted), text, if_version=ABSENT_VERSION)
+            if text and document_digest(text) == digest and not self._has_document(digest):
+                write = PutRecord(document_record(digest), text, if_version=ABSENT_VERSION)
                 self._host.enqueue_internal(write)
                 return True
         return False
--- a/orchidhatch/control/request_messages.py
+++ b/orchidhatch/control/request_messages.py
@@ -10,20 +10,18 @@
 from orchidhatch.control.field_types import (
     Cell,
     Check,
-    Counts,
-    Digest,
     Message,
     Name,
     NonNegative,
     OptionalLeaseMs,
-    ReadyDocuments,
     Reason,
-    RemainingMs,
     SessionLeaseMs,
     Text,
     Weight,
+    check_fields,
 )
 from orchidhatch.control.ownership.objects import Fence
+from orchidhatch.control.policy.policy_lease_messages import PolicyLeaseRenewal
 from orchidhatch.control.registry.endpoints import Lifecycle
 
 ENDPOINT_CHECKS = {"address": Check.ADDRESS, "zone": Check.PRINTABLE, "machine_type": Check.PRINTABLE}
@@ -173,20 +171,14 @@
     zone: Text
 
 
-class GatewayReportMessage(Message, frozen=True, kw_only=True):
-    """What an agent reports of its gateway with each renewal; time and text only where it knows them."""
+class PolicyLeaseRenewalMessage(PolicyLeaseRenewal, frozen=True, kw_only=True, forbid_unknown_fields=True):
+    """A renewal as a registry reads it. Agents send what they have, and do not check it."""
 
-    CHECKS: ClassVar[dict[str, Check]] = {"flaw": Check.PRINTABLE, "text": Check.RECORD}
-    incarnation: Name = field(name="life")
-    has: Digest
-    number: NonNegative
-    digest: Digest
-    ready: ReadyDocuments
-    flaw: Reason
-    counts: Counts
-    serves: bool
-    remaining_ms: RemainingMs | UnsetType = field(name="leftMs", default=UNSET)
-    text: str | UnsetType = UNSET
+    CHECKS: ClassVar[dict[str, Check]] = {"document_error": Check.PRINTABLE, "document_text": Check.RECORD}
+
+    def __post_init__(self) -> None:
+        """Raise ValueError for a field that fails its check."""
+        check_fields(self, self.CHECKS)
 
 
 class PromotionMessage(Message, frozen=True, kw_only=True):
--- a/orchidhatch/control/schemas.py
+++ b/orchidhatch/control/schemas.py
@@ -6,7 +6,6 @@
 
 from typing import Any
 
-import msgspec
 from msgspec import UNSET
 
 from orchidhatch.control.errors import InvalidRequestError
@@ -24,6 +23,7 @@
     SuspendClaim,
     TakeClaim,
 )
+from orchidhatch.control.policy.policy_lease_messages import PolicyLeaseRenewal
 from orchidhatch.control.registry.endpoints import (
     LISTED_LIFECYCLES,
     ChangeLifecycle,
@@ -38,9 +38,9 @@
     FencedCallMessage,
     FenceMessage,
     GatewayMessage,
-    GatewayReportMessage,
     IncarnationMessage,
     OptionalFenceMessage,
+    PolicyLeaseRenewalMessage,
     PromotionMessage,
     RecordMessage,
     RegistrationMessage,
@@ -212,9 +212,9 @@
     return RegisterGateway(Gateway(message.name, message.incarnation, message.zone))
 
 
-def read_gateway_report(body: bytes) -> dict[str, Any]:
-    """An agent's report of its gateway, by the names on the wire; a field that is not given is not there."""
-    return msgspec.to_builtins(decode_message(body, GatewayReportMessage))
+def read_policy_lease_renewal(body: bytes) -> PolicyLeaseRenewal:
+    """The renewal of a gateway's policy lease, with an agent's report of the gateway."""
+    return decode_message(body, PolicyLeaseRenewalMessage)
 
 
 # --- parts of a path, and optional fields ---
--- a/tests/control/agent/test_policy_lease.py
+++ b/tests/control/agent/test_policy_lease.py
@@ -8,7 +8,7 @@
 import pytest
 
 from orchidhatch.control.agent.gateway_config import GatewayConfigFile
-from orchidhatch.control.agent.policy_lease import RenewalAnswer
+from orchidhatch.control.policy.policy_lease_messages import PolicyLeaseAnswer
 from orchidhatch.control.policy.policy_records import DOCUMENT_RECORD_PREFIX
 from orchidhatch.control.policy.timing import (
     ABSENT_AFTER_S,
@@ -56,9 +56,9 @@
 
 
 async def test_activation_time_when_another_answer_comes_then_is_narrowed_down(tmp_path: Path) -> None:
-    def answer(**changes: object) -> RenewalAnswer:
+    def answer(**changes: object) -> PolicyLeaseAnswer:
         value = {"sure": True, "number": 1 << 40, "digest": "", "before": "", "prepare": "", "want": ""}
-        return msgspec.convert({**value, **changes}, RenewalAnswer)
+        return msgspec.convert({**value, **changes}, PolicyLeaseAnswer)
 
     async with leased_gateway(tmp_path) as fixture:
         lease, time = fixture.holder.lease, fixture.time
