--- a/orchidhatch/control/agent/command.py
+++ b/orchidhatch/control/agent/command.py
@@ -2,7 +2,7 @@
 
     python -m orchidhatch.agent --listen 127.0.0.1:8501 --registry 127.0.0.1:8500 --cache agent.db
 
-Ends with 0 when it was told to end, 1 where it cannot serve, 2 where the options make no sense.
+Ends with 0 after a signal to end, 1 where it cannot serve, 2 where the options make no sense.
 """
 
 import argparse
@@ -85,7 +85,7 @@
 
 
 async def serve(options: argparse.Namespace) -> None:
-    """Run an agent until the process is told to end."""
+    """Run an agent until a signal to end."""
     # Agents of many machines that start together must not draw the same random numbers.
     seed = random.SystemRandom().getrandbits(32) ^ os.getpid()
     agent = Agent(
--- a/orchidhatch/control/agent/fence_table.py
+++ b/orchidhatch/control/agent/fence_table.py
@@ -19,7 +19,7 @@
 
 
 class FenceTable:
-    """Highest epoch by claim, and highest act number by subject; neither ever goes down.
+    """Highest epoch by claim, and highest call number by subject; neither ever goes down.
 
     `initialized` is False until the epochs were once taken over from a registry: a table that was lost, or
     never was, would accept any epoch.
@@ -31,37 +31,37 @@
         database.create_table("acts (subject TEXT PRIMARY KEY, number INTEGER NOT NULL)")
         database.create_table("epochs_known (only INTEGER PRIMARY KEY CHECK (only = 1))")
         self.epochs: dict[str, int] = dict(database.read("SELECT claim, epoch FROM epochs"))
-        self.act_numbers: dict[str, int] = dict(database.read("SELECT subject, number FROM acts"))
+        self.call_numbers: dict[str, int] = dict(database.read("SELECT subject, number FROM acts"))
         self.initialized = bool(database.read("SELECT only FROM epochs_known"))
 
     def is_full(self) -> bool:
         """Whether no more claims or subjects are to be recorded."""
-        return len(self.epochs) + len(self.act_numbers) >= MAX_CLAIMS_AND_SUBJECTS
+        return len(self.epochs) + len(self.call_numbers) >= MAX_CLAIMS_AND_SUBJECTS
 
-    def check(self, fence: Fence, subject: str, act_number: int) -> None:
-        """Raise StaleCallError where a higher epoch, or a later act on the subject, was recorded."""
+    def check(self, fence: Fence, subject: str, call_number: int) -> None:
+        """Raise StaleCallError where a higher epoch, or a later call on the subject, was recorded."""
         highest_epoch = self.epochs.get(fence.claim, 0)
         if fence.epoch < highest_epoch:
             raise StaleCallError(
                 f"{CLAIM_SIGN}{fence.claim} is at epoch {highest_epoch} here, not {fence.epoch}"
             )
-        last_act = self.act_numbers.get(subject, 0)
-        if act_number < last_act:
-            raise StaleCallError(f"act {act_number} on {subject} comes after {last_act}")
+        last_number = self.call_numbers.get(subject, 0)
+        if call_number < last_number:
+            raise StaleCallError(f"act {call_number} on {subject} comes after {last_number}")
 
-    async def record(self, fence: Fence, subject: str, act_number: int) -> None:
+    async def record(self, fence: Fence, subject: str, call_number: int) -> None:
         """Make a call's epoch and number durable, where they are higher. Raises sqlite3.Error."""
-        await self._raise_to({fence.claim: fence.epoch}, {subject: act_number})
+        await self._raise_to({fence.claim: fence.epoch}, {subject: call_number})
 
     async def initialize(self, epochs: Mapping[str, int]) -> None:
         """Take over the epochs that hold by now. Raises sqlite3.Error."""
         await self._raise_to(epochs, {}, initialized=True)
 
     async def _raise_to(
-        self, epochs: Mapping[str, int], act_numbers: Mapping[str, int], initialized: bool = False
+        self, epochs: Mapping[str, int], call_numbers: Mapping[str, int], initialized: bool = False
     ) -> None:
         higher_epochs = higher_values(epochs, self.epochs)
-        higher_numbers = higher_values(act_numbers, self.act_numbers)
+        higher_numbers = higher_values(call_numbers, self.call_numbers)
         if not (higher_epochs or higher_numbers or initialized):
             return
         statements = [
@@ -72,7 +72,7 @@
             statements.append(Statement("INSERT OR IGNORE INTO epochs_known VALUES (1)"))
         await self._database.write(*statements)
         self.epochs.update(higher_epochs)
-        self.act_numbers.update(higher_numbers)
+        self.call_numbers.update(higher_numbers)
         self.initialized = self.initialized or initialized
 
 
--- a/orchidhatch/control/agent/gateway_calls.py
+++ b/orchidhatch/control/agent/gateway_calls.py
@@ -1,7 +1,7 @@
 """Forwards management calls of controllers to the gateway on the same machine.
 
 A call that changes something is fenced: it names the claim in whose name it is made, the claim's epoch, and
-its own number among the acts of that claim. Calls are carried out one after another: none overtakes another
+its own number among that claim's calls. Calls are made one after another: none overtakes another
 between the check of its fence and its effect.
 """
 
@@ -17,8 +17,9 @@
 
 from orchidhatch.control.agent.fence_table import FenceTable, StaleCallError
 from orchidhatch.control.agent.gateway_client import GATEWAY_TIMEOUT_S
+from orchidhatch.control.errors import ConflictError, ControlError, NotFoundError, UnavailableError
 from orchidhatch.control.http_client import Address, HttpResponse, NoResponse, call
-from orchidhatch.control.http_response import ErrorBody, Response, term_of
+from orchidhatch.control.http_response import Response, error_response, term_of
 from orchidhatch.control.ownership.objects import Fence
 from orchidhatch.control.registry.replication import Replicator
 
@@ -32,15 +33,15 @@
 
 @dataclass(frozen=True, slots=True)
 class FencedCall:
-    """A management call: its path, in whose name it is made, and its number among the acts of that claim."""
+    """A management call: its path, in whose name it is made, and its number among that claim's."""
 
     path: tuple[str, ...]
     fence: Fence
-    act_number: int
+    call_number: int
 
     @property
     def subject(self) -> str:
-        """What it acts on, such as one backend; acts on different subjects are numbered independently."""
+        """What it is about, such as one backend; each subject's calls are numbered on their own."""
         return "/".join(self.path[:-1])
 
     def is_known(self) -> bool:
@@ -67,30 +68,6 @@
     claims: list[ClaimEpoch]
 
 
-class CallRefusedError(Exception):
-    """A call that is not forwarded; `status` says why to the caller, the text to a person."""
-
-    status: HTTPStatus
-
-
-class UnknownCallError(CallRefusedError):
-    """There is no such call."""
-
-    status = HTTPStatus.NOT_FOUND
-
-
-class FencedOffError(CallRefusedError):
-    """The call is late, or its claim has another owner by now."""
-
-    status = HTTPStatus.CONFLICT
-
-
-class UnavailableError(CallRefusedError):
-    """The call cannot be carried out for now, or it is not known whether it was."""
-
-    status = HTTPStatus.SERVICE_UNAVAILABLE
-
-
 class GatewayCalls:
     """The calls to one gateway, and the table of fences that they are checked against."""
 
@@ -100,7 +77,7 @@
         self._gateway = gateway
         self._lock = asyncio.Lock()
         self._queued = 0
-        self._carried_out = 0
+        self._executed = 0
         self._fenced_off = 0
         self._refused_uninitialized = 0
 
@@ -108,63 +85,63 @@
         """The gateway's answer to a query, with its status."""
         try:
             if name not in QUERIES:
-                raise UnknownCallError("no such question")
+                raise NotFoundError("no such question")
             result = await call(self._gateway, "GET", f"/{name}", timeout_s=GATEWAY_TIMEOUT_S)
             answer = require_answer(result)
-        except CallRefusedError as error:
-            return refusal(error)
+        except ControlError as error:
+            return error_response(error)
         return encode_answer(answer.status, answer)
 
     async def forward(self, fenced_call: FencedCall) -> Response:
-        """Carry out a call once those before it are done, unless its fence is too old."""
+        """Make a call once those before it are done, unless its fence is too old."""
         try:
             if not fenced_call.is_known():
-                raise UnknownCallError("no such act")
+                raise NotFoundError("no such act")
             if self._queued >= MAX_QUEUED_CALLS:
                 raise UnavailableError("too many acts wait")
             self._queued += 1
             try:
                 async with self._lock:
-                    return await self.carry_out(fenced_call)
+                    return await self.execute(fenced_call)
             finally:
                 self._queued -= 1
-        except CallRefusedError as error:
-            return refusal(error)
+        except ControlError as error:
+            return error_response(error)
 
-    async def carry_out(self, fenced_call: FencedCall) -> Response:
-        """Check and record the fence, then make the call. Raises CallRefusedError."""
+    async def execute(self, fenced_call: FencedCall) -> Response:
+        """Check and record the fence, then make the call. Raises ControlError."""
         await self._initialize_fences()
         subject = fenced_call.subject
         try:
-            self.fences.check(fenced_call.fence, subject, fenced_call.act_number)
+            self.fences.check(fenced_call.fence, subject, fenced_call.call_number)
         except StaleCallError as error:
             self._fenced_off += 1
-            raise FencedOffError(str(error)) from error
+            raise ConflictError(str(error)) from error
         if self.fences.is_full():
             raise UnavailableError("too many claims and backends are known here")
         try:
-            await self.fences.record(fenced_call.fence, subject, fenced_call.act_number)
+            await self.fences.record(fenced_call.fence, subject, fenced_call.call_number)
         except sqlite3.Error as error:
             raise UnavailableError(f"cannot keep the epoch: {error}") from error
         answer = require_answer(await self._send(fenced_call))
         if not 200 <= answer.status < 300:
             return encode_answer(answer.status, answer)
-        self._carried_out += 1
+        self._executed += 1
         return encode_answer(int(HTTPStatus.OK), answer)
 
     def metrics(self) -> dict[str, float]:
         """The figures by their names on /metrics."""
         return {
-            "door_acts_total": self._carried_out,
+            "door_acts_total": self._executed,
             "door_late_total": self._fenced_off,
             "door_unknown_total": self._refused_uninitialized,
             "door_acts_waiting": self._queued,
         }
 
     async def _send(self, fenced_call: FencedCall) -> HttpResponse | NoResponse:
-        target = "/" + "/".join(quote(part, safe="") for part in fenced_call.path)
+        target = "/" + "/".join(quote(segment, safe="") for segment in fenced_call.path)
         fence = fenced_call.fence
-        headers = {CLAIM_HEADER: f"{fence.claim} {fence.epoch} {fenced_call.act_number}"}
+        headers = {CLAIM_HEADER: f"{fence.claim} {fence.epoch} {fenced_call.call_number}"}
         return await call(self._gateway, "POST", target, timeout_s=GATEWAY_TIMEOUT_S, headers=headers)
 
     async def _initialize_fences(self) -> None:
@@ -205,8 +182,3 @@
 def encode_answer(status: int, answer: HttpResponse) -> Response:
     """A response that hands on the body of the gateway's."""
     return Response(status, msgspec.to_builtins(GatewayAnswer(answer.value)))
-
-
-def refusal(error: CallRefusedError) -> Response:
-    """The response to a call that is not forwarded."""
-    return Response(int(error.status), ErrorBody(str(error)))
--- a/orchidhatch/control/agent/gateway_client.py
+++ b/orchidhatch/control/agent/gateway_client.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayState:
-    """What a gateway's health told last. `policy` is None where it is under no policy."""
+    """What a gateway's health response said last. `policy` is None where it is under no policy."""
 
     serves: bool = False
     policy: AppliedPolicy | None = None
--- a/orchidhatch/control/agent/gateway_config.py
+++ b/orchidhatch/control/agent/gateway_config.py
@@ -18,7 +18,7 @@
     """The part of the file that says which policy the gateway is under; field names are the file's.
 
     `until_us` is when the gateway suspends admission by itself, by the monotonic clock, 0 for never.
-    `silent_ms` is for how long it may hear nothing from its agent. `base` are its own settings.
+    `silent_ms` is for how long its agent may be silent. `base` are its own settings.
     """
 
     number: int
--- a/orchidhatch/control/agent/gateway_setup.py
+++ b/orchidhatch/control/agent/gateway_setup.py
@@ -1,4 +1,4 @@
-"""What an agent is told of the gateway whose policy lease it holds."""
+"""How an agent is configured for the gateway whose policy lease it holds."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
--- a/orchidhatch/control/agent/gateway_steering.py
+++ b/orchidhatch/control/agent/gateway_steering.py
@@ -105,13 +105,13 @@
     async def _suspend(self, status: int | None) -> None:
         """Have the gateway admit no clients.
 
-        One that cannot be told so hears nothing from this agent either, and suspends admission by itself.
+        One that cannot be reached is not sent the endpoint list either, and suspends admission by itself.
         """
         if status == HTTPStatus.OK:
             self.suspensions += 1
             log.warning("admission suspended: lease_remaining_s=%.1f", self._lease.remaining_s())
-        is_out_of_service = status is not None and status != HTTPStatus.OK
-        if is_out_of_service or await self.gateway.suspend_admission():
+        is_suspended = status is not None and status != HTTPStatus.OK
+        if is_suspended or await self.gateway.suspend_admission():
             self._watches.resume()
         else:
             self._watches.suspend()
--- a/orchidhatch/control/agent/policy_decision.py
+++ b/orchidhatch/control/agent/policy_decision.py
@@ -1,4 +1,4 @@
-"""The policy decision that an agent was told, and when it is activated by the agent's own clock.
+"""The policy decision that an agent received, and when it is activated by the agent's own clock.
 
 The registry tells how much time is left until the activation, not a point in time: no machine's clock is
 trusted. Each answer bounds the activation time from both sides, and together they narrow it down.
--- a/orchidhatch/control/agent/policy_lease_holder.py
+++ b/orchidhatch/control/agent/policy_lease_holder.py
@@ -127,7 +127,7 @@
             try:
                 await self.prepare_documents()
                 last_error = ""
-            except (sqlite3.Error, OSError) as error:  # a disk that is full: it is tried again
+            except (sqlite3.Error, OSError) as error:  # a disk that is full: repeated at the next step
                 if str(error) != last_error:
                     log.error("documents not prepared: error=%s", error)
                 last_error = str(error)
--- a/orchidhatch/control/agent/readiness.py
+++ b/orchidhatch/control/agent/readiness.py
@@ -1,4 +1,4 @@
-"""When an agent may show its list after its start: the cache may lack what was told last."""
+"""When an agent may show its list after its start: the cache may lack what was shown last."""
 
 import asyncio
 import time
@@ -6,7 +6,7 @@
 
 from orchidhatch.control.registry.replication import Replicator
 
-READY_WITHIN_S = 1.0  # how long a watch waits for a registry to be heard, after the start
+READY_WITHIN_S = 1.0  # how long a watch waits for a registry's list, after the start
 READY_CHECK_INTERVAL_S = 0.01
 
 
@@ -26,7 +26,7 @@
             self._delayed.append(begin)
 
     async def wait(self) -> None:
-        """Until a list was received, every registry was tried, or READY_WITHIN_S has passed."""
+        """Until a list was received, every registry was contacted, or READY_WITHIN_S has passed."""
         until_s = time.monotonic() + READY_WITHIN_S
         while time.monotonic() < until_s and not self._has_contacted_all():
             await asyncio.sleep(READY_CHECK_INTERVAL_S)
--- a/orchidhatch/control/agent/service.py
+++ b/orchidhatch/control/agent/service.py
@@ -85,7 +85,7 @@
         self.tasks.start_loops(loops)
 
     def when_ready(self, begin: Callable[[], None]) -> None:
-        """Begin a watch once a registry was heard, or none answers."""
+        """Begin a watch once a registry's list has arrived, or none answers."""
         self.readiness.when_ready(begin)
 
     def health(self) -> Response:
--- a/orchidhatch/control/cli.py
+++ b/orchidhatch/control/cli.py
@@ -22,7 +22,7 @@
 def add_command(
     commands: Subparsers, name: str, run: Command, help_text: str, *, takes_id: bool = False
 ) -> argparse.ArgumentParser:
-    """A command that `run` carries out, with the id of what it is about if it takes one."""
+    """A command that `run` executes, with the id of what it is about if it takes one."""
     command = commands.add_parser(name, help=help_text)
     command.set_defaults(run=run)
     if takes_id:
--- a/orchidhatch/control/cli_arguments.py
+++ b/orchidhatch/control/cli_arguments.py
@@ -11,7 +11,8 @@
 
     Raises argparse.ArgumentTypeError.
     """
-    number, unit = text[:-1], SECONDS_BY_UNIT.get(text[-1:])
+    number = text[:-1]
+    unit = SECONDS_BY_UNIT.get(text[-1:])
     if not unit or not number.isdecimal() or not 0 < int(number) * unit <= MAX_DURATION_S:
         raise argparse.ArgumentTypeError(f"'{text}' is no time as 90s, 10m or 2h, up to a day")
     return float(int(number) * unit)
--- a/orchidhatch/control/controller/command.py
+++ b/orchidhatch/control/controller/command.py
@@ -1,6 +1,6 @@
 """Runs the fleet controller as a process.
 
-python -m orchidhatch.steward --id controller-1 --registry 127.0.0.1:8500 [--registry ...] [--agent ... ]
+python -m orchidhatch.controller --id controller-1 --registry 127.0.0.1:8500 [--registry ...] [--agent ... ]
 """
 
 import argparse
@@ -16,6 +16,7 @@
 log = logging.getLogger("orchidhatch.controller")
 
 DESCRIPTION = "Does the fleet's work, one owner at a time: any number of these may run, on any machines."
+ALIAS_NOTE = "orchidhatch.steward is an alias of this command, by its former name."
 
 
 async def serve(options: argparse.Namespace) -> None:
@@ -39,7 +40,9 @@
 
 def build_parser() -> argparse.ArgumentParser:
     """The command line."""
-    parser = argparse.ArgumentParser(prog="orchidhatch.steward", description=DESCRIPTION)
+    parser = argparse.ArgumentParser(
+        prog="orchidhatch.controller", description=DESCRIPTION, epilog=ALIAS_NOTE
+    )
     parser.add_argument("--id", required=True, help="its name; one process at a time has it")
     parser.add_argument(
         "--registry",
--- a/orchidhatch/control/controller/drain.py
+++ b/orchidhatch/control/controller/drain.py
@@ -7,7 +7,7 @@
 import time
 
 from orchidhatch.control.controller.countdown import count_down, start_count
-from orchidhatch.control.controller.errors import TaskFailedError, UnavailableError
+from orchidhatch.control.controller.errors import StepPostponedError, TaskFailedError
 from orchidhatch.control.controller.task import GatewayCommand, Task, TaskContext
 from orchidhatch.control.controller.task_records import DrainEnd, DrainRecord, DrainState
 
@@ -78,5 +78,5 @@
         """All gateways first: one that missed it would never send to the endpoint again."""
         missing = await context.command_gateways(self, self.record.instance_id, GatewayCommand.RESTORE)
         if missing:
-            raise UnavailableError(f"not yet restored at {', '.join(missing)}")
+            raise StepPostponedError(f"not yet restored at {', '.join(missing)}")
         await self._set_lifecycle(context, SERVING, DrainState.RESTORED, done=True)
--- a/orchidhatch/control/controller/errors.py
+++ b/orchidhatch/control/controller/errors.py
@@ -17,7 +17,7 @@
     """A step could not be carried out now; it is repeated from the stored state and is no failed task."""
 
 
-class UnavailableError(RetryLaterError):
+class StepPostponedError(RetryLaterError):
     """Nobody who can answer was reached, or this process may not act under its claim at the moment."""
 
 
--- a/orchidhatch/control/controller/recurring.py
+++ b/orchidhatch/control/controller/recurring.py
@@ -13,7 +13,7 @@
     """Backs the registry's store up, again and again.
 
     A second backup does no harm, so no state is stored before one is made. One that fails is named in the
-    message and tried again after the interval.
+    message and repeated after the interval.
     """
 
     record_type = BackupRecord
--- a/orchidhatch/control/controller/service.py
+++ b/orchidhatch/control/controller/service.py
@@ -10,7 +10,7 @@
 import time
 from collections.abc import Callable, Mapping, Sequence
 
-from orchidhatch.control.controller.gateway_fleet_client import GatewayClient
+from orchidhatch.control.controller.gateway_fleet_client import GatewayFleetClient
 from orchidhatch.control.controller.registry_api import RegistryApi
 from orchidhatch.control.controller.session import SESSION_LEASE_MS, Session
 from orchidhatch.control.controller.shards import OwnedShards, ShardBalancer
@@ -38,7 +38,9 @@
         self.owned = OwnedShards()
         self.session = Session(holder, registry, self, lease_ms, clock)
         self.balancer = ShardBalancer(self.session, self.owned, registry)
-        self.runner = TaskRunner(self.session, self.owned, self.balancer, registry, GatewayClient(agents))
+        self.runner = TaskRunner(
+            self.session, self.owned, self.balancer, registry, GatewayFleetClient(agents)
+        )
 
     async def run(self) -> None:
         """Hold a session and work until this is cancelled; an unexpected error of the session ends both."""
--- a/orchidhatch/control/controller/task.py
+++ b/orchidhatch/control/controller/task.py
@@ -32,7 +32,7 @@
 class TaskContext(Protocol):
     """What a task may do, on behalf of the claim on its shard.
 
-    Each method raises UnavailableError where nobody answers or the claim may have been lost, and each that
+    Each method raises StepPostponedError where nobody answers or the claim may have been lost, and each that
     changes something raises FencedError where the claim belongs to another controller.
     """
 
--- a/orchidhatch/control/controller/task_context.py
+++ b/orchidhatch/control/controller/task_context.py
@@ -2,8 +2,8 @@
 
 import msgspec
 
-from orchidhatch.control.controller.errors import FencedError, StaleRecordError, UnavailableError
-from orchidhatch.control.controller.gateway_fleet_client import FencedCall, GatewayClient
+from orchidhatch.control.controller.errors import FencedError, StaleRecordError, StepPostponedError
+from orchidhatch.control.controller.gateway_fleet_client import FencedCallRequest, GatewayFleetClient
 from orchidhatch.control.controller.registry_api import (
     FencedRequest,
     LifecycleRequest,
@@ -32,7 +32,7 @@
         session: Session,
         owned: OwnedShards,
         registry: RegistryApi,
-        gateways: GatewayClient,
+        gateways: GatewayFleetClient,
         samples: SamplesByTask,
     ) -> None:
         self.shard = shard
@@ -44,9 +44,9 @@
         self._samples = samples
 
     def check_ownership(self) -> None:
-        """Raise UnavailableError unless, as far as this process knows, the claim is still its own."""
+        """Raise StepPostponedError unless, as far as this process knows, the claim is still its own."""
         if self._owned.epoch_of(self.shard) != self.epoch or not self._session.may_act:
-            raise UnavailableError(f"{self.shard} may belong to another controller by now")
+            raise StepPostponedError(f"{self.shard} may belong to another controller by now")
 
     def claim_term(self) -> int:
         """The registry's term that the claim was taken in."""
@@ -56,7 +56,7 @@
         """The registry's reply to a read."""
         reply = await self._registry.request("GET", path)
         if reply.unavailable:
-            raise UnavailableError("no registry answers")
+            raise StepPostponedError("no registry answers")
         return reply
 
     async def read_record(self, name: str) -> StoredRecord | None:
@@ -104,7 +104,7 @@
         """Send a command about a backend to each gateway; the agents whose gateways did not carry it out."""
         # Numbers rise with each save of the task; the term in front makes a promoted registry's higher.
         number = self.claim_term() << EPOCH_COUNT_BITS | task.version
-        fenced_call = FencedCall(claim=self.shard, epoch=self.epoch, number=number)
+        fenced_call = FencedCallRequest(claim=self.shard, epoch=self.epoch, number=number)
         return await self._gateways.command(
             f"backends/{instance_id}/{command.value}", fenced_call, self.check_ownership
         )
@@ -126,5 +126,5 @@
         if reply.fenced:
             raise FencedError(reply.error_text)
         if reply.unavailable:
-            raise UnavailableError("no registry accepts writes")
+            raise StepPostponedError("no registry accepts writes")
         return reply
--- a/orchidhatch/control/controller/task_runner.py
+++ b/orchidhatch/control/controller/task_runner.py
@@ -3,7 +3,7 @@
 import logging
 
 from orchidhatch.control.controller.errors import FencedError, InvalidTaskError, RetryLaterError
-from orchidhatch.control.controller.gateway_fleet_client import GatewayClient
+from orchidhatch.control.controller.gateway_fleet_client import GatewayFleetClient
 from orchidhatch.control.controller.registry_api import RegistryApi, StoredRecord
 from orchidhatch.control.controller.session import Session
 from orchidhatch.control.controller.shards import OwnedShards, ShardBalancer, shard_of_task
@@ -28,7 +28,7 @@
         owned: OwnedShards,
         balancer: ShardBalancer,
         registry: RegistryApi,
-        gateways: GatewayClient,
+        gateways: GatewayFleetClient,
     ) -> None:
         self.fenced_steps = 0
         self._session = session
--- a/orchidhatch/control/error_signs.py
+++ b/orchidhatch/control/error_signs.py
@@ -1,4 +1,4 @@
-"""Words in error texts that a process on the other end, also of another version, acts by.
+"""Phrases in error texts that a process on the other end, also of another version, acts by.
 
 They must stay in these texts; the rest of a text is for people only.
 """
--- a/orchidhatch/control/http_server.py
+++ b/orchidhatch/control/http_server.py
@@ -89,7 +89,7 @@
         raise NotImplementedError
 
     def when_ready(self, begin: Callable[[], None]) -> None:
-        """Begin a watch; later, where the list may be older than what another process has told."""
+        """Begin a watch; later, where the list may be older than what another process has shown."""
         begin()
 
     def format_metrics(self, prefix: str, values: dict[str, float]) -> str:
--- a/orchidhatch/control/lease_table.py
+++ b/orchidhatch/control/lease_table.py
@@ -37,9 +37,9 @@
     few: int = 2
     withheld_s: float = math.inf
 
-    def is_exceeded(self, running_out: int, total: int) -> bool:
+    def is_exceeded(self, expiring: int, total: int) -> bool:
         """Whether this many of a total are too many."""
-        return running_out > max(self.few, self.share * total)
+        return expiring > max(self.few, self.share * total)
 
 
 DEFAULT_LIMIT = MassExpiryLimit()
@@ -100,9 +100,9 @@
         self._extend_by_pause(now_s)
         self._forget_old_expiries(now_s)
         overdue = [lease for lease in self.leases.values() if lease.due_s <= now_s]
-        running_out = len(overdue) + len(self._expiries_s)
+        expiring = len(overdue) + len(self._expiries_s)
         expired = overdue
-        if self._limit.is_exceeded(running_out, len(self.leases) + len(self._expiries_s)):
+        if self._limit.is_exceeded(expiring, len(self.leases) + len(self._expiries_s)):
             expired = [lease for lease in overdue if lease.due_s + self._limit.withheld_s <= now_s]
         self.withheld = len(overdue) - len(expired)
         self._expiries_s.extend([now_s] * len(expired))
--- a/orchidhatch/control/ownership/claims.py
+++ b/orchidhatch/control/ownership/claims.py
@@ -230,8 +230,8 @@
     def _release_claim(self, write: ReleaseClaim) -> Claim:
         self._session(write.holder, write.incarnation)
         known = self._claim(write.name)
-        held = (known.holder, known.incarnation, known.epoch)
-        if held != (write.holder, write.incarnation, write.epoch):
+        current = (known.holder, known.incarnation, known.epoch)
+        if current != (write.holder, write.incarnation, write.epoch):
             raise ConflictError(
                 f"{CLAIM_SIGN}{write.name} is at epoch {known.epoch} of {known.holder or 'nobody'}, "
                 f"not {write.epoch} of {write.holder}"
--- a/orchidhatch/control/ownership/service.py
+++ b/orchidhatch/control/ownership/service.py
@@ -1,4 +1,4 @@
-"""Sessions and claims of one registry: their leases, who waits for changes, and metrics.
+"""Sessions and claims of one registry: their leases, the requests that wait for changes, and metrics.
 
 Sessions' leases are kept by the monotonic clock and begin anew with the process. Where most sessions would
 run out together, rather the network or this registry failed: their end is withheld for a while.
--- a/orchidhatch/control/policy/change.py
+++ b/orchidhatch/control/policy/change.py
@@ -9,7 +9,7 @@
 from msgspec import UNSET
 
 from orchidhatch.control.controller.countdown import count_down
-from orchidhatch.control.controller.errors import StaleRecordError, TaskFailedError, UnavailableError
+from orchidhatch.control.controller.errors import StaleRecordError, StepPostponedError, TaskFailedError
 from orchidhatch.control.controller.task import Task, TaskContext
 from orchidhatch.control.ownership.claims import EPOCH_COUNT_BITS
 from orchidhatch.control.policy.change_record import (
@@ -33,7 +33,7 @@
     document_record,
     encode_decision,
 )
-from orchidhatch.control.policy.rollout_checks import GateOutcome, absence_error, judge_gate
+from orchidhatch.control.policy.rollout_checks import GateOutcome, absence_error, check_gate
 from orchidhatch.control.policy.timing import ACTIVATION_DELAY_S
 
 SAVE_INTERVAL_S = 2.0
@@ -56,7 +56,7 @@
         """Carry out the action that the stored state calls for; none while a decision may be missing."""
         reply = await context.read("/doors")
         if not reply.ok:
-            raise UnavailableError("the registry does not show the gateways")
+            raise StepPostponedError("the registry does not show the gateways")
         fleet = decode_fleet_status(reply.body)
         if not fleet.is_certain:
             return
@@ -213,7 +213,7 @@
         """Judge the gate until its time is over; undo the change as soon as it fails."""
         if not count_down(self.record, SAVE_INTERVAL_S):
             return
-        verdict = judge_gate(
+        verdict = check_gate(
             self.record.counts_before,
             self.record.counts_at_switch,
             total_counts(fleet.gateways),
--- a/orchidhatch/control/policy/document.py
+++ b/orchidhatch/control/policy/document.py
@@ -119,8 +119,8 @@
     # The errors of msgspec, tomllib and json are ValueErrors.
     except (ValueError, RecursionError, InvalidRequestError) as error:
         raise InvalidPolicyError(f"{source}: {one_line(error)}") from error
-    check_parts("plans", policy.plans, source)
-    check_parts("classes", policy.classes, source)
+    check_items("plans", policy.plans, source)
+    check_items("classes", policy.classes, source)
     check_length(policy.text(), source)
     return policy
 
@@ -138,15 +138,15 @@
         raise InvalidPolicyError(f"{source}: is longer than {MAX_DOCUMENT_BYTES} bytes")
 
 
-def check_parts(key: str, parts: Sequence[Plan | LatencyObjective], source: str) -> None:
-    """Raise InvalidPolicyError where two parts have one name, or one cannot be applied."""
-    names = {part.name for part in parts}
-    if len(names) < len(parts):
+def check_items(key: str, items: Sequence[Plan | LatencyObjective], source: str) -> None:
+    """Raise InvalidPolicyError where two items have one name, or one cannot be applied."""
+    names = {item.name for item in items}
+    if len(names) < len(items):
         raise InvalidPolicyError(f"{source}: {key}: a name is given twice")
-    for part in parts:
-        error = part.error()
+    for item in items:
+        error = item.error()
         if error is not None:
-            raise InvalidPolicyError(f"{source}: {key}.{part.name}.{error}")
+            raise InvalidPolicyError(f"{source}: {key}.{item.name}.{error}")
 
 
 def one_line(error: Exception) -> str:
@@ -185,23 +185,23 @@
         old = before.get(key)
         new = after.get(key)
         key_path = f"{path}{key}"
-        if has_named_parts(old) or has_named_parts(new):
-            yield from document_differences(parts_by_name(old), parts_by_name(new), f"{key_path}.")
+        if has_named_items(old) or has_named_items(new):
+            yield from document_differences(items_by_name(old), items_by_name(new), f"{key_path}.")
         elif isinstance(old, dict) and isinstance(new, dict):
             yield from document_differences(old, new, f"{key_path}.")
         elif old != new:
             yield f"{key_path}: {shown_value(old)} -> {shown_value(new)}"
 
 
-def has_named_parts(value: object) -> bool:
+def has_named_items(value: object) -> bool:
     """Whether a value is a list of plans or classes."""
     return isinstance(value, list) and bool(value) and isinstance(value[0], dict)
 
 
-def parts_by_name(parts: Sequence[Mapping[str, Any]] | None) -> dict[str, dict[str, Any]]:
-    """The other fields of each part, by its name."""
+def items_by_name(items: Sequence[Mapping[str, Any]] | None) -> dict[str, dict[str, Any]]:
+    """The other fields of each plan or class, by its name."""
     return {
-        part["name"]: {key: value for key, value in part.items() if key != "name"} for part in parts or ()
+        item["name"]: {key: value for key, value in item.items() if key != "name"} for item in items or ()
     }
 
 
--- a/orchidhatch/control/policy/gateway_directory.py
+++ b/orchidhatch/control/policy/gateway_directory.py
@@ -29,7 +29,7 @@
         """Forget all reports, as with a new process or term: no gateway has reported anything here yet."""
         self._reports: dict[str, ReceivedReport] = {}
         self._started_s = self._host.clock()
-        # Without a directory there may be gateways that this registry has never heard of.
+        # Without a directory there may be gateways that this registry does not know.
         self._is_complete = bool(self._listed)
 
     def names(self) -> list[str]:
--- a/orchidhatch/control/policy/gateway_policy_leases.py
+++ b/orchidhatch/control/policy/gateway_policy_leases.py
@@ -170,7 +170,7 @@
                 self.directory.forget(outcome.name)
 
     def batch_failed(self, writes: Sequence[object]) -> None:
-        """None of these writes is durable; a decision among them is tried again."""
+        """None of these writes is durable; a decision among them is written again."""
         self.term_decision.write_ended()
 
     def _decided(self, text: str) -> None:
--- a/orchidhatch/control/policy/policy_cli.py
+++ b/orchidhatch/control/policy/policy_cli.py
@@ -155,7 +155,7 @@
 }
 
 
-def carry_out(options: argparse.Namespace) -> None:
+def run_command(options: argparse.Namespace) -> None:
     """Run one command; only a check needs no registry."""
     if options.at:
         HANDLERS[options.command](PolicyRegistry(options.at), options)
@@ -204,7 +204,7 @@
 def main() -> int:
     """Run the command; the exit status."""
     try:
-        carry_out(build_parser().parse_args())
+        run_command(build_parser().parse_args())
     except InvalidPolicyError as error:
         print(f"{PROGRAM}: {error}", file=sys.stderr)
         return EXIT_INVALID
--- a/orchidhatch/control/policy/rollout_checks.py
+++ b/orchidhatch/control/policy/rollout_checks.py
@@ -50,7 +50,7 @@
     return f"{share} of zone {worst_zone} would be out of service"
 
 
-def judge_gate(before: EndCounts, at_switch: EndCounts, now: EndCounts, gate: Gate) -> GateVerdict:
+def check_gate(before: EndCounts, at_switch: EndCounts, now: EndCounts, gate: Gate) -> GateVerdict:
     """Whether the requests since the switch fail more often than those before it.
 
     Too few requests also stands for a gateway that was restarted, as its counts begin at 0 again.
--- a/orchidhatch/control/policy/term_decision.py
+++ b/orchidhatch/control/policy/term_decision.py
@@ -112,8 +112,8 @@
         """What the gateways may go by until they go by this document.
 
         If some do already, its activation time has passed, and no gateway goes by another one any more,
-        whether or not it had heard of it. If all go by one other document, one of them may do so a while
-        longer without hearing of this registry, and so they all may.
+        whether or not the decision had reached it. If all go by one other document, one of them may do so a
+        while longer without reaching this registry, and so they all may.
         """
         reports = map(self._directory.report_of, self._directory.names())
         active = {report.active_digest for report in reports if report is not None}
--- a/orchidhatch/control/policy/timing.py
+++ b/orchidhatch/control/policy/timing.py
@@ -9,7 +9,7 @@
 RENEWALS_PER_LEASE = 4
 # For an agent that was restarted: it waits so long for a registry before it takes its gateway out of service.
 AGENT_START_GRACE_S = 1.0
-# Without news from its agent a gateway suspends admission; its endpoint watch has a line every 2 s.
+# Where its agent is silent, a gateway suspends admission; its endpoint watch has a line every 2 s.
 AGENT_SILENCE_LIMIT_S = 5.0
 # How long a gateway's event loop may have stalled before it suspends admission.
 STALL_LIMIT_S = 1.0
@@ -25,5 +25,5 @@
 ABSENT_AFTER_S = CLOCK_RATE_TOLERANCE * (
     LEASE_S + AGENT_START_GRACE_S + AGENT_SILENCE_LIMIT_S + STALL_LIMIT_S + DRAIN_LIMIT_S
 )
-# From a decision to its activation time: until then a gateway that has not heard of it may still serve.
+# From a decision to its activation time: until then a gateway that it has not reached may still serve.
 ACTIVATION_DELAY_S = ABSENT_AFTER_S
--- /dev/null
+++ b/orchidhatch/control/registry/backup_handlers.py
@@ -0,0 +1,67 @@
+"""The requests for backups of a registry's store."""
+
+import logging
+from collections.abc import Awaitable, Callable, Coroutine
+
+from orchidhatch.control.errors import ConflictError, ControlError, StoreError
+from orchidhatch.control.http_connection import Connection
+from orchidhatch.control.http_response import Response
+from orchidhatch.control.ownership.objects import Fence
+from orchidhatch.control.registry.backups import Backups, BackupSummary
+from orchidhatch.control.registry.store import Store
+from orchidhatch.control.router import Request, Router
+from orchidhatch.control.schemas import read_optional_fence
+
+log = logging.getLogger("orchidhatch.registry")
+
+RunInTurn = Callable[[Callable[[], None]], Awaitable[None]]
+StartTask = Callable[[Coroutine[None, None, None]], None]
+
+
+class BackupHandlers:
+    """Requests for backups of the store. `backups` is None where no folder was given."""
+
+    def __init__(self, store: Store, run_in_turn: RunInTurn, start_task: StartTask) -> None:
+        self.backups: Backups | None = None
+        self._store = store
+        self._run_in_turn = run_in_turn
+        self._start_task = start_task
+
+    def add_routes(self, router: Router) -> None:
+        """Add all routes of these handlers."""
+        router.add("POST", "/backup", self._back_up)
+
+    def _back_up(self, request: Request) -> None:
+        fence = read_optional_fence(request.body)
+        self._start_task(self._answer_backup(request.connection, fence))
+
+    async def _answer_backup(self, connection: Connection, fence: Fence | None) -> None:
+        try:
+            summary = await self._create_backup(fence)
+        except ControlError as error:
+            if isinstance(error, StoreError):
+                log.error("backup failed: reason=%s", error)
+            connection.fail(error)
+        else:
+            connection.answer(Response(200, summary))
+
+    async def _create_backup(self, fence: Fence | None) -> BackupSummary:
+        """A summary of the backup. Raises ConflictError or StoreError."""
+        backups = self.backups
+        if backups is None:
+            raise ConflictError("it was given no folder for backups")
+        summaries: list[BackupSummary] = []
+
+        def check_and_copy() -> None:
+            """Check and copy in one turn, as no write may come between them."""
+            self._store.check_fence(fence)
+            summaries.append(backups.create(self._store))
+
+        await self._run_in_turn(check_and_copy)
+        return summaries[0]
+
+    def metrics(self) -> dict[str, float]:
+        """Metrics by name, without the registry's prefix."""
+        if self.backups is None:
+            return {}
+        return {"backups_total": self.backups.completed, "backups_failed_total": self.backups.failed}
--- a/orchidhatch/control/registry/batch.py
+++ b/orchidhatch/control/registry/batch.py
@@ -24,7 +24,8 @@
 class Batch:
     """What a batch of writes comes to: an outcome for each, in order.
 
-    `generation` and `endpoints_sum` are the list's after it, `claims` is the claims table's transaction.
+    `generation` and `endpoints_sum` are those of the endpoint list after it; `claims` is the transaction of
+    the claims table.
     """
 
     def __init__(
@@ -40,8 +41,8 @@
 class BatchPlan:
     """The endpoint list and the claims table as the writes of a batch leave them, one after another.
 
-    What it is made from stays as it is: the list's generation, the sum of its digests, its endpoints and a
-    new transaction of the claims table.
+    What it is made from stays as it is: the generation of the endpoint list, the sum of its digests, its
+    endpoints and a new transaction of the claims table.
     """
 
     def __init__(
--- a/orchidhatch/control/registry/checksums.py
+++ b/orchidhatch/control/registry/checksums.py
@@ -1,7 +1,7 @@
 """Checksums of what is stored: SHA-256 of each record, and one over the whole endpoint list.
 
-The list's checksum holds the sum of the endpoints' digests, so that a write changes it without reading the
-other endpoints.
+The checksum of the endpoint list holds the sum of the endpoints' digests, so that a write changes it without
+reading the other endpoints.
 """
 
 import hashlib
@@ -14,9 +14,9 @@
     return int.from_bytes(hashlib.sha256(text.encode()).digest())
 
 
-def record_checksum(*parts: object) -> str:
-    """The checksum of a row: over its key and its text, separated by spaces."""
-    return f"{digest_of(' '.join(map(str, parts))):064x}"
+def record_checksum(*columns: object) -> str:
+    """The checksum of a row: over the columns of its key and its text, separated by spaces."""
+    return f"{digest_of(' '.join(map(str, columns))):064x}"
 
 
 def list_checksum(identity: str, term: int, first: int, generation: int, endpoints: int) -> str:
--- a/orchidhatch/control/registry/command.py
+++ b/orchidhatch/control/registry/command.py
@@ -26,7 +26,7 @@
 
 
 async def serve(options: argparse.Namespace) -> None:
-    """Run a registry until the process is told to end."""
+    """Run a registry until a signal to end."""
     # A new store goes on from the time in ms: above what one before it gave, at under 1,000 writes a second.
     store = Store(options.store, options.create, first=time.time_ns() // 1_000_000)
     registry = Registry(
--- a/orchidhatch/control/registry/list_persistence.py
+++ b/orchidhatch/control/registry/list_persistence.py
@@ -13,8 +13,8 @@
 
 CATCH_UP_INTERVAL_S = 1.0
 """How often at most the whole list is written again to a disk that failed."""
-MOST_SKIPPED = 1000
-"""Generations passed over by chance where the wall clock does not carry them on."""
+MAX_RANDOM_SKIP = 1000
+"""Generations that are skipped at random, at most, where the wall clock is behind them."""
 
 
 class ListPersistence(Protocol):
@@ -68,7 +68,7 @@
         self._wall_clock_ms = wall_clock_ms
         self._clock = clock
         self._tried_s = -CATCH_UP_INTERVAL_S
-        # Whether the process before this one may have told more than the file has.
+        # Whether the process before this one may have shown more than the file has.
         self._may_lag = bool(server.store.entries)
         self.is_behind = False
         self.failures = 0
@@ -89,14 +89,14 @@
         return True
 
     def _fall_behind(self, error: StoreError) -> None:
-        """From now on changes are told that the file does not have."""
+        """From now on changes are shown that the file does not have."""
         self.failures += 1
         self._tried_s = self._clock()
         self._skip_generations()
         log.error("cache not written, the list goes on in memory: error=%s", error)
 
     def _skip_generations(self) -> None:
-        """Go on above all generations that another process may tell or have told.
+        """Go on above all generations that another process may show or have shown.
 
         One that goes on from the same file does this at its first change, and lists change less often than
         the wall clock's milliseconds pass. Where that was stepped back, chance keeps the two apart, and a
@@ -105,8 +105,8 @@
         self.is_behind = True
         store = self._server.store
         now_ms = self._wall_clock_ms()
-        by_chance = store.generation + 1 + self._server.random.randrange(MOST_SKIPPED)
-        store.skip_generations(now_ms if now_ms > store.generation else by_chance)
+        random_skip = store.generation + 1 + self._server.random.randrange(MAX_RANDOM_SKIP)
+        store.skip_generations(now_ms if now_ms > store.generation else random_skip)
 
     async def catch_up(self) -> None:
         """Write the whole list where the file lacks some of it, not more often than CATCH_UP_INTERVAL_S."""
--- a/orchidhatch/control/registry/replication.py
+++ b/orchidhatch/control/registry/replication.py
@@ -89,7 +89,7 @@
 
     @property
     def upstream_address(self) -> Address:
-        """The service that is watched, or is tried next."""
+        """The service that is watched, or is the next to be watched."""
         return self.upstreams[self._upstream_index]
 
     @property
--- a/orchidhatch/control/registry/service.py
+++ b/orchidhatch/control/registry/service.py
@@ -19,8 +19,9 @@
 from orchidhatch.control.ownership.service import OwnershipService
 from orchidhatch.control.policy.gateway_policy_leases import GatewayPolicyLeases
 from orchidhatch.control.policy.policy_handlers import PolicyHandlers
+from orchidhatch.control.registry.backup_handlers import BackupHandlers
 from orchidhatch.control.registry.backups import Backups
-from orchidhatch.control.registry.endpoint_handlers import BackupHandlers, EndpointHandlers, TermHandlers
+from orchidhatch.control.registry.endpoint_handlers import EndpointHandlers
 from orchidhatch.control.registry.lease_expiry import EndpointLeaseExpiry
 from orchidhatch.control.registry.peer_terms import PeerTermGuard
 from orchidhatch.control.registry.policy_lease_host import PolicyLeaseHost
@@ -28,6 +29,7 @@
 from orchidhatch.control.registry.replica_role import ReplicaRole
 from orchidhatch.control.registry.replication import Replicator
 from orchidhatch.control.registry.store import Store
+from orchidhatch.control.registry.term_handlers import TermHandlers
 from orchidhatch.control.registry.write_access import WriteAccess
 from orchidhatch.control.registry.write_pipeline import WritePipeline
 from orchidhatch.control.responses import ReplicaHealthResponse
@@ -124,6 +126,7 @@
 
     async def _check_forever(self, check: Callable[[], object]) -> None:
         def check_own() -> None:
+            """Check the leases, unless they are the upstream's."""
             if not self.replicator:
                 check()
 
@@ -147,6 +150,7 @@
 
     @backups.setter
     def backups(self, backups: Backups | None) -> None:
+        """Keep backups there from now on."""
         self._backup_handlers.backups = backups
 
     def store_name(self) -> str:
--- a/orchidhatch/control/registry/store.py
+++ b/orchidhatch/control/registry/store.py
@@ -11,6 +11,7 @@
 from orchidhatch.control.errors import CorruptStoreError, StoreError
 from orchidhatch.control.ownership.claims import ClaimsTransaction
 from orchidhatch.control.ownership.claims_table import ClaimsTable
+from orchidhatch.control.ownership.objects import Fence
 from orchidhatch.control.registry.batch import Batch, BatchPlan, Outcome, Write
 from orchidhatch.control.registry.checksums import DIGEST_MODULUS, digest_of
 from orchidhatch.control.registry.endpoints import (
@@ -35,7 +36,7 @@
         path: Path,
         create: bool = False,
         first: int = 0,
-        most_history: int = MAX_HISTORY,
+        max_history: int = MAX_HISTORY,
         term: int = 1,
     ) -> None:
         """Open and check it. Raises StoreError, or CorruptStoreError where the file is damaged."""
@@ -44,7 +45,7 @@
         self.history: dict[int, Endpoint] = {}  # by generation; a removed one is DELETED there
         self.endpoints_sum = 0
         self.claims_table = ClaimsTable()
-        self._max_history = most_history
+        self._max_history = max_history
         if not create and not (path.is_file() and path.stat().st_size):
             raise StoreError(f"there is no store at {path.name}; make a new one, or rebuild it")
         try:
@@ -75,6 +76,7 @@
 
     @term.setter
     def term(self, term: int) -> None:
+        """Show another term, in memory only: for tests."""
         self._header = self._header._replace(term=term)
 
     @property
@@ -142,6 +144,10 @@
         last = {self.history[at].id: at for at in range(after + 1, self.generation + 1)}
         return [self.history[at] for at in sorted(last.values())]
 
+    def check_fence(self, fence: Fence | None) -> None:
+        """Raise ConflictError unless the claim is current. For what is not a write of its own."""
+        ClaimsTransaction(self.claims_table, self.term).check(fence)
+
     # --- writes ---
 
     def apply(self, writes: Sequence[Write]) -> list[Outcome]:
--- a/orchidhatch/control/registry/store_file.py
+++ b/orchidhatch/control/registry/store_file.py
@@ -110,7 +110,7 @@
     # --- reads, while loading ---
 
     def read_header(self) -> tuple[ListHeader, str]:
-        """The header and the list's checksum."""
+        """The header and the checksum of the endpoint list."""
         query = "SELECT identity, term, first, generation, digest FROM meta"
         [(*header, checksum)] = self.db.execute(query).fetchall()
         return ListHeader(*header), checksum
@@ -172,7 +172,7 @@
         self.db.executemany("INSERT INTO entries VALUES (?, ?)", rows)
 
     def write_header(self, header: ListHeader, endpoints_sum: int) -> None:
-        """Write the list's header with its checksum."""
+        """Write the header of the endpoint list with its checksum."""
         self.db.execute(
             "UPDATE meta SET term = ?, first = ?, generation = ?, digest = ?",
             (header.term, header.first, header.generation, header.checksum(endpoints_sum)),
@@ -204,7 +204,7 @@
     while (aside := path.with_name(f"{path.name}.damaged{number or ''}")).exists():
         number += 1
     for suffix in SQLITE_SUFFIXES:
-        part = Path(f"{path}{suffix}")
-        if part.exists():
-            part.replace(f"{aside}{suffix}")
+        file = Path(f"{path}{suffix}")
+        if file.exists():
+            file.replace(f"{aside}{suffix}")
     return aside
--- a/orchidhatch/control/registry/write_pipeline.py
+++ b/orchidhatch/control/registry/write_pipeline.py
@@ -32,7 +32,7 @@
     connection: Connection | None
 
     @property
-    def is_wanted(self) -> bool:
+    def is_awaited(self) -> bool:
         """Whether the client still waits for it."""
         return self.connection is None or not self.connection.is_closing
 
@@ -119,59 +119,59 @@
             await self._is_queued.wait()
             self._is_queued.clear()
             while self._queue:
-                wanted = self._next_batch()
-                if wanted:
-                    await self._process(wanted)
+                queued_writes = self._next_batch()
+                if queued_writes:
+                    await self._process(queued_writes)
 
     def _next_batch(self) -> list[QueuedWrite]:
         """The next writes, without those whose clients have gone: they are not carried out."""
         count = min(MAX_BATCH_WRITES, len(self._queue))
         taken = [self._queue.popleft() for _ in range(count)]
-        wanted = [queued for queued in taken if queued.is_wanted]
-        self.rejected_writes += len(taken) - len(wanted)
-        return wanted
+        queued_writes = [queued for queued in taken if queued.is_awaited]
+        self.rejected_writes += len(taken) - len(queued_writes)
+        return queued_writes
 
-    async def _process(self, wanted: Sequence[QueuedWrite]) -> None:
+    async def _process(self, queued_writes: Sequence[QueuedWrite]) -> None:
         """Write a batch; an unexpected error fails its writes, whose outcome is unknown, and no others."""
         try:
-            await self._write_if_current(wanted)
+            await self._write_if_current(queued_writes)
         except Exception as error:
-            log.exception("batch failed: writes=%d", len(wanted))
-            self._fail(StoreError(f"unexpected error: {error}"), wanted)
+            log.exception("batch failed: writes=%d", len(queued_writes))
+            self._fail(StoreError(f"unexpected error: {error}"), queued_writes)
 
-    async def _write_if_current(self, wanted: Sequence[QueuedWrite]) -> None:
+    async def _write_if_current(self, queued_writes: Sequence[QueuedWrite]) -> None:
         if await self._peer_terms.ensure_current():
-            await self.write_batch(wanted)
+            await self.write_batch(queued_writes)
         else:
-            self._reject_as_fenced(wanted)
+            self._reject_as_fenced(queued_writes)
             for observer in self.observers:
-                observer.batch_failed(wanted)
+                observer.batch_failed(queued_writes)
 
-    async def write_batch(self, wanted: Sequence[QueuedWrite]) -> None:
+    async def write_batch(self, queued_writes: Sequence[QueuedWrite]) -> None:
         """Make a batch durable, tell the observers, then the clients, then the watches."""
-        batch = self._store.plan([queued.write for queued in wanted])
-        if not await self._commit(batch, wanted):
+        batch = self._store.plan([queued.write for queued in queued_writes])
+        if not await self._commit(batch, queued_writes):
             return
         generation = self._store.generation
         self._store.publish(batch)
         for observer in self.observers:
-            observer.batch_written(wanted, batch.outcomes)
+            observer.batch_written(queued_writes, batch.outcomes)
         # It may have stood still on the way to the disk.
         if await self._peer_terms.ensure_current():
-            for queued, outcome in zip(wanted, batch.outcomes, strict=True):
+            for queued, outcome in zip(queued_writes, batch.outcomes, strict=True):
                 queued.acknowledge(outcome)
         else:
-            self._reject_as_fenced(wanted)
+            self._reject_as_fenced(queued_writes)
         if self._store.generation != generation:
             self._broadcast()
 
-    async def _commit(self, batch: Batch, wanted: Sequence[QueuedWrite]) -> bool:
+    async def _commit(self, batch: Batch, queued_writes: Sequence[QueuedWrite]) -> bool:
         """Whether the batch is durable; otherwise all were answered."""
         started_s = time.monotonic()
         try:
             await self._run_in_turn(lambda: self._store.commit(batch))
         except StoreError as error:
-            self._fail(error, wanted)
+            self._fail(error, queued_writes)
             return False
         duration_s = time.monotonic() - started_s
         self.last_write_error = None
@@ -181,17 +181,17 @@
         self.longest_commit_s = max(self.longest_commit_s, duration_s)
         return True
 
-    def _fail(self, error: StoreError, wanted: Sequence[QueuedWrite]) -> None:
+    def _fail(self, error: StoreError, queued_writes: Sequence[QueuedWrite]) -> None:
         if self.last_write_error is None:
             log.error("write failed, reads go on: reason=%s", error)
         self.last_write_error = error
-        for queued in wanted:
+        for queued in queued_writes:
             queued.acknowledge(error)
         for observer in self.observers:
-            observer.batch_failed(wanted)
+            observer.batch_failed(queued_writes)
 
-    def _reject_as_fenced(self, wanted: Sequence[QueuedWrite]) -> None:
-        for queued in wanted:
+    def _reject_as_fenced(self, queued_writes: Sequence[QueuedWrite]) -> None:
+        for queued in queued_writes:
             queued.acknowledge(ConflictError(self._peer_terms.fenced_text()))
 
     def metrics(self) -> dict[str, float]:
@@ -213,7 +213,8 @@
         batches: list[Batch] = []
 
         def plan_and_commit() -> None:
-            batch = self._store.plan(writes)  # in its turn: nothing else is planned meanwhile
+            """Plan in its turn, as nothing else is planned meanwhile."""
+            batch = self._store.plan(writes)
             self._store.commit(batch)
             batches.append(batch)
 
--- a/orchidhatch/control/registry_client.py
+++ b/orchidhatch/control/registry_client.py
@@ -20,7 +20,7 @@
     async def call(self, method: str, path: str, body: object = None) -> CallResult:
         """The response of the registry that accepts writes.
 
-        Each registry is tried once. Where none accepts writes: the last response if it says that the service
+        Each registry is asked once. Where none accepts writes: the last response if it says that the service
         is unavailable, else a NoResponse.
         """
         result: CallResult = NoResponse("no registry is configured")
@@ -41,4 +41,4 @@
         return False
     text = str(response.value)
     is_conflict = response.status == HTTPStatus.CONFLICT
-    return not (is_conflict and any(words in text for words in NOT_WRITABLE_SIGNS))
+    return not (is_conflict and any(sign in text for sign in NOT_WRITABLE_SIGNS))
--- a/orchidhatch/control/request_messages.py
+++ b/orchidhatch/control/request_messages.py
@@ -74,7 +74,7 @@
 class FencedCallMessage(FenceMessage, frozen=True, kw_only=True):
     """A call to a gateway under a claim, with the call's number."""
 
-    act_number: NonNegative = field(name="act")
+    call_number: NonNegative = field(name="act")
 
 
 class OptionalFenceMessage(Message, frozen=True, kw_only=True):
--- a/orchidhatch/control/schemas.py
+++ b/orchidhatch/control/schemas.py
@@ -203,7 +203,7 @@
 def read_fenced_call(body: bytes) -> tuple[Fence, int]:
     """The claim that a call to a gateway is made under, and the call's number."""
     message = decode_message(body, FencedCallMessage)
-    return Fence(message.claim, message.epoch), message.act_number
+    return Fence(message.claim, message.epoch), message.call_number
 
 
 def read_register_gateway(body: bytes) -> RegisterGateway:
--- a/orchidhatch/faults/fleet.py
+++ b/orchidhatch/faults/fleet.py
@@ -311,7 +311,7 @@
         async def ready() -> bool:
             return b"serves" in (self.folder / name / "log").read_bytes()
 
-        self.add(name, "orchidhatch.steward", "--id", name, *registries, *agents, ready=ready)
+        self.add(name, "orchidhatch.controller", "--id", name, *registries, *agents, ready=ready)
 
     async def add_backend(self, number: int) -> str:
         """A machine in this slot, the first or one in place of another; its id in the list."""
--- a/orchidhatch/faults/seeded_defects.py
+++ b/orchidhatch/faults/seeded_defects.py
@@ -109,14 +109,14 @@
     from orchidhatch.control.ownership.claims import ClaimsTransaction
 
     ClaimsTransaction.check = lambda self, fence: None
-    carry_out = GatewayCalls.carry_out
+    execute = GatewayCalls.execute
 
     async def unchecked(self: GatewayCalls, fenced_call: Any) -> Any:  # noqa: ANN401
         self.fences.epochs.clear()
-        self.fences.act_numbers.clear()
-        return await carry_out(self, fenced_call)
+        self.fences.call_numbers.clear()
+        return await execute(self, fenced_call)
 
-    GatewayCalls.carry_out = unchecked
+    GatewayCalls.execute = unchecked
 
 
 def decide_unready() -> None:
--- a/orchidhatch/steward.py
+++ b/orchidhatch/steward.py
@@ -1,4 +1,4 @@
-"""Command `python -m orchidhatch.steward`: the fleet controller."""
+"""Command `python -m orchidhatch.steward`: an alias of `python -m orchidhatch.controller`."""
 
 import sys
 
--- a/tests/control/agent/test_fence_table.py
+++ b/tests/control/agent/test_fence_table.py
@@ -46,7 +46,7 @@
     await table.record(Fence("x", 4), "backends/s-1", 6)
     reopened = FenceTable(database)
     assert reopened.initialized
-    assert (reopened.epochs, reopened.act_numbers) == ({"x": 5}, {"backends/s-1": 7})
+    assert (reopened.epochs, reopened.call_numbers) == ({"x": 5}, {"backends/s-1": 7})
 
 
 async def test_fences_when_the_disk_fails_then_stay_as_they_were(
--- a/tests/control/controller/test_drain_steps.py
+++ b/tests/control/controller/test_drain_steps.py
@@ -5,7 +5,7 @@
 import pytest
 
 from orchidhatch.control.controller.drain import Drain
-from orchidhatch.control.controller.errors import TaskFailedError, UnavailableError
+from orchidhatch.control.controller.errors import StepPostponedError, TaskFailedError
 from orchidhatch.control.controller.registry_api import RegistryReply
 from orchidhatch.control.controller.task import GatewayCommand
 from orchidhatch.control.controller.task_records import DrainEnd, DrainState, new_drain
@@ -34,7 +34,7 @@
     context = FakeContext()
     context.missing_agents = [AGENT]
     drain = drain_in(DrainState.ENDING)
-    with pytest.raises(UnavailableError, match=AGENT):
+    with pytest.raises(StepPostponedError, match=AGENT):
         await drain.step(context)
     assert drain.record.state is DrainState.ENDING and not context.lifecycles
     context.missing_agents = []
--- a/tests/control/controller/test_session.py
+++ b/tests/control/controller/test_session.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from orchidhatch.control.controller.errors import SessionLostError, UnavailableError
+from orchidhatch.control.controller.errors import SessionLostError, StepPostponedError
 from orchidhatch.control.controller.service import Controller
 from orchidhatch.control.controller.session import ACTING_SHARE_OF_LEASE
 from orchidhatch.control.controller.shards import SHARDS
@@ -64,7 +64,7 @@
 
         # A task that is under way then is stopped before its next action, and new ones are not begun.
         context = controller.runner.context_of(SHARDS[0])
-        with pytest.raises(UnavailableError):
+        with pytest.raises(StepPostponedError):
             await context.put_record("r", "text")
         assert not registry.store.claims_table.records
 
--- a/tests/control/controller/test_task_context.py
+++ b/tests/control/controller/test_task_context.py
@@ -7,8 +7,8 @@
 
 from orchidhatch.control.controller import gateway_fleet_client
 from orchidhatch.control.controller.drain import Drain
-from orchidhatch.control.controller.errors import FencedError, StaleRecordError, UnavailableError
-from orchidhatch.control.controller.gateway_fleet_client import GatewayClient
+from orchidhatch.control.controller.errors import FencedError, StaleRecordError, StepPostponedError
+from orchidhatch.control.controller.gateway_fleet_client import GatewayFleetClient
 from orchidhatch.control.controller.registry_api import RegistryApi
 from orchidhatch.control.controller.session import Session
 from orchidhatch.control.controller.shards import SHARDS, OwnedShards
@@ -39,7 +39,7 @@
     owned.add(SHARDS[0], owned_epoch)
     session = Session("controller-1", registry, owned, clock=lambda: 0.0)
     session.valid_until_s = 1.0
-    return ClaimContext(SHARDS[0], EPOCH, session, owned, registry, GatewayClient(AGENTS), {})
+    return ClaimContext(SHARDS[0], EPOCH, session, owned, registry, GatewayFleetClient(AGENTS), {})
 
 
 def new_task() -> Drain:
@@ -65,15 +65,15 @@
 )
 async def test_write_or_read_when_no_registry_takes_it_raises_unavailable(reply: CallResult) -> None:
     context = context_with(FakeRegistryClient(reply))
-    with pytest.raises(UnavailableError):
+    with pytest.raises(StepPostponedError):
         await context.create_backup()
-    with pytest.raises(UnavailableError):
+    with pytest.raises(StepPostponedError):
         await context.read_record("r")
 
 
 async def test_write_when_the_shard_is_owned_at_another_epoch_is_not_sent() -> None:
     client = FakeRegistryClient(HttpResponse(HTTPStatus.OK, {}))
-    with pytest.raises(UnavailableError):
+    with pytest.raises(StepPostponedError):
         await context_with(client, owned_epoch=EPOCH + 1).expire_leases()
     assert not client.requests
 
--- a/tests/control/policy/test_rollout_checks.py
+++ b/tests/control/policy/test_rollout_checks.py
@@ -2,7 +2,7 @@
 
 from orchidhatch.control.policy.change_record import EndCounts, Gate
 from orchidhatch.control.policy.fleet_status import GatewayState, GatewayStatus
-from orchidhatch.control.policy.rollout_checks import GateOutcome, absence_error, judge_gate
+from orchidhatch.control.policy.rollout_checks import GateOutcome, absence_error, check_gate
 
 GATE = Gate(for_ms=1000)
 NONE_ENDED = EndCounts()
@@ -10,22 +10,22 @@
 
 
 def test_gate_when_too_few_requests_ended_or_a_gateway_was_restarted_is_not_judged() -> None:
-    too_few = judge_gate(NONE_ENDED, AT_SWITCH, EndCounts(answered=600), GATE)
-    restarted = judge_gate(NONE_ENDED, AT_SWITCH, EndCounts(answered=100), GATE)
+    too_few = check_gate(NONE_ENDED, AT_SWITCH, EndCounts(answered=600), GATE)
+    restarted = check_gate(NONE_ENDED, AT_SWITCH, EndCounts(answered=100), GATE)
     assert too_few.outcome is restarted.outcome is GateOutcome.TOO_FEW_REQUESTS
     at_switch = EndCounts(answered=500, errored=5)
-    some_restarted = judge_gate(NONE_ENDED, at_switch, EndCounts(answered=2000, errored=1), GATE)
+    some_restarted = check_gate(NONE_ENDED, at_switch, EndCounts(answered=2000, errored=1), GATE)
     assert some_restarted.outcome is GateOutcome.TOO_FEW_REQUESTS
 
 
 def test_gate_when_no_more_fail_than_before_passes() -> None:
     at_switch = EndCounts(answered=500, errored=5)
     now = EndCounts(answered=1000, errored=10)
-    assert judge_gate(NONE_ENDED, at_switch, now, GATE).outcome is GateOutcome.PASSED
+    assert check_gate(NONE_ENDED, at_switch, now, GATE).outcome is GateOutcome.PASSED
 
 
 def test_gate_when_more_are_deferred_than_before_fails_with_the_shares() -> None:
-    verdict = judge_gate(NONE_ENDED, AT_SWITCH, EndCounts(answered=600, deferred=400), GATE)
+    verdict = check_gate(NONE_ENDED, AT_SWITCH, EndCounts(answered=600, deferred=400), GATE)
     assert verdict.outcome is GateOutcome.FAILED
     assert verdict.reason == "0.800 of the requests deferred, 0.000 before"
 
--- a/tests/control/registry/test_store.py
+++ b/tests/control/registry/test_store.py
@@ -125,14 +125,14 @@
 
 
 def test_changes_when_older_than_the_history_then_are_not_known(path: Path) -> None:
-    store = Store(path, create=True, most_history=4)
+    store = Store(path, create=True, max_history=4)
     for number in (1, 2, 3):
         one(store, RegisterEndpoint(entry(number)))
     assert [found.id for found in store.changes(0)] == ["s-1", "s-2", "s-3"] and store.changes(3) == []
     one(store, ChangeLifecycle("s-1", "DRAINING"))
     one(store, RemoveEndpoint("s-2"))
     for found in (store, None):
-        found = found or (store.close() or Store(path, most_history=4))
+        found = found or (store.close() or Store(path, max_history=4))
         assert len(found.history) == 4 and found.changes(0) is None and found.changes(6) is None
         assert found.changes(-1) is None
         assert [(one.id, one.lifecycle) for one in found.changes(2)] == [
--- a/tests/control/test_http_server.py
+++ b/tests/control/test_http_server.py
@@ -44,7 +44,7 @@
 async def test_watch_when_history_reaches_back_then_resumes_and_else_begins_with_the_whole_list(
     path: Path,
 ) -> None:
-    async with serving(path, most_history=3) as registry:
+    async with serving(path, max_history=3) as registry:
         at = address_of(registry)
         for number in range(5):
             await call(at, "POST /entries", body(instanceId=f"s-{number}"))
