--- a/tests/control/agent/helpers.py
+++ b/tests/control/agent/helpers.py
@@ -29,7 +29,7 @@
 async def start_agent_process(
     path: Path, at: tuple[str, int], *registries: tuple[str, int]
 ) -> asyncio.subprocess.Process:
-    known = [word for registry in registries for word in ("--registry", f"{HOST}:{registry[1]}")]
+    known = [argument for registry in registries for argument in ("--registry", f"{HOST}:{registry[1]}")]
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
--- a/tests/control/agent/test_failing_disk.py
+++ b/tests/control/agent/test_failing_disk.py
@@ -10,7 +10,7 @@
 from orchidhatch.control.errors import StoreError
 from orchidhatch.control.registry import list_persistence, replication
 from tests.control.agent.helpers import register_endpoint, running_agent, until
-from tests.control.registry.helpers import Watcher, address_of, named, serving
+from tests.control.registry.helpers import Watcher, address_of, lifecycles_by_id, serving
 from tests.control.test_schemas import body
 from tests.sockets import HOST
 
@@ -20,22 +20,24 @@
     agent.store.db.execute(f"PRAGMA query_only = {int(failing)}")
 
 
-async def test_news_go_on_while_the_caches_disk_fails(tmp_path: Path) -> None:
+async def test_changes_are_passed_on_while_the_disk_fails(tmp_path: Path) -> None:
     async with serving(tmp_path / "r.db") as registry:
         await register_endpoint(registry, "first")
         async with running_agent(tmp_path / "a.db", address_of(registry)) as agent:
             await until(lambda: agent.replicator.connected)
             watcher = await Watcher.open(address_of(agent))
-            known = named(await watcher.news())
+            known = lifecycles_by_id(await watcher.next_event())
             fail_writes(agent, failing=True)
             for number in range(20):
                 await register_endpoint(registry, f"s-{number}")
             while len(known) < 21:
-                known |= named(await watcher.news())
+                known |= lifecycles_by_id(await watcher.next_event())
             assert agent.replicator.upstream_switches == 0
 
 
-async def test_cache_is_whole_again_once_the_disk_is(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_cache_is_rewritten_once_the_disk_works(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(list_persistence, "CATCH_UP_INTERVAL_S", 0.0)
     async with (
         serving(tmp_path / "r.db") as registry,
@@ -59,7 +61,7 @@
     reopened.close()
 
 
-async def test_agent_that_restarts_behind_what_it_told_goes_forward(tmp_path: Path) -> None:
+async def test_restarted_agent_never_shows_an_earlier_list(tmp_path: Path) -> None:
     """Its cache lacks what it told last: a gateway is told neither the old list nor an earlier generation."""
     async with serving(tmp_path / "r.db") as registry:
         await register_endpoint(registry, "s-1")
@@ -68,18 +70,18 @@
             fail_writes(agent, failing=True)
             await register_endpoint(registry, "s-2")
             await until(lambda: len(agent.store.entries) == 2)
-            told = agent.store.generation
+            shown_generation = agent.store.generation
         for number in range(3, 9):
             await register_endpoint(registry, f"s-{number}")
         async with running_agent(tmp_path / "a.db", address_of(registry)) as agent:
-            news = await (await Watcher.open(address_of(agent), told)).news()
-            assert news["reset"] and len(news["instances"]) == 8 and news["generation"] > told
+            event = await (await Watcher.open(address_of(agent), shown_generation)).next_event()
+            assert event["reset"] and len(event["instances"]) == 8 and event["generation"] > shown_generation
         reopened = open_cache(tmp_path / "a.db")
         assert len(reopened.entries) == 8
         reopened.close()
 
 
-async def test_list_goes_on_where_only_its_position_cannot_be_saved(
+async def test_list_is_updated_though_its_position_is_not_saved(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A commit that is durable and not shown would make every later one clash with it."""
@@ -101,9 +103,7 @@
     assert list(agent.store.entries) == ["s-3"] and not agent.cached_list.is_behind
 
 
-def test_agent_starts_without_a_file_where_its_disk_fails(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_agent_starts_in_memory_on_a_failing_disk(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     connect = sqlite3.connect
 
     def connect_failing(path: object, **options: object) -> sqlite3.Connection:
@@ -116,7 +116,7 @@
     assert store.entries == {} and store.generation > 0
 
 
-def test_agent_does_not_start_where_another_has_the_file_or_there_is_no_folder(tmp_path: Path) -> None:
+def test_open_cache_rejects_a_locked_file_or_missing_folder(tmp_path: Path) -> None:
     first = open_cache(tmp_path / "a.db")
     with pytest.raises(StoreError, match="locked"):
         open_cache(tmp_path / "a.db")
--- a/tests/control/agent/test_fence_table.py
+++ b/tests/control/agent/test_fence_table.py
@@ -26,7 +26,7 @@
     return CacheDatabase(connection, run_directly)
 
 
-async def test_check_when_the_epoch_or_the_act_is_older_then_refuses(database: CacheDatabase) -> None:
+async def test_check_rejects_an_older_epoch_or_call(database: CacheDatabase) -> None:
     table = FenceTable(database)
     await table.record(Fence("x", 5), "backends/s-1", 7)
     table.check(Fence("x", 5), "backends/s-1", 7)
@@ -38,7 +38,8 @@
         table.check(Fence("x", 5), "backends/s-1", 6)
 
 
-async def test_fences_when_recorded_lower_or_reopened_then_keep_the_highest(database: CacheDatabase) -> None:
+async def test_fences_keep_the_highest_values(database: CacheDatabase) -> None:
+    """Also where lower ones are recorded, and over a restart."""
     table = FenceTable(database)
     assert not table.initialized
     await table.initialize({"x": 3})
@@ -49,7 +50,7 @@
     assert (reopened.epochs, reopened.call_numbers) == ({"x": 5}, {"backends/s-1": 7})
 
 
-async def test_fences_when_the_disk_fails_then_stay_as_they_were(
+async def test_fences_stay_unchanged_if_the_disk_fails(
     database: CacheDatabase, connection: sqlite3.Connection
 ) -> None:
     table = FenceTable(database)
@@ -60,9 +61,7 @@
     assert not table.initialized and table.epochs == {"x": 5} and not connection.in_transaction
 
 
-async def test_table_when_it_holds_the_most_then_is_full(
-    database: CacheDatabase, monkeypatch: pytest.MonkeyPatch
-) -> None:
+async def test_table_is_full_at_its_limit(database: CacheDatabase, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(fence_table, "MAX_CLAIMS_AND_SUBJECTS", 2)
     table = FenceTable(database)
     assert not table.is_full()
--- a/tests/control/agent/test_gateway_process.py
+++ b/tests/control/agent/test_gateway_process.py
@@ -11,7 +11,7 @@
 UNUSED_PROCESS_NUMBER = 1 << 22
 
 
-async def test_reload_when_the_process_is_another_then_signals_nobody(tmp_path: Path) -> None:
+async def test_reload_signals_no_other_process(tmp_path: Path) -> None:
     config_file, pid_file = tmp_path / "config.json", tmp_path / "pid"
     gateway = GatewayProcess(pid_file, config_file)
     for own in (False, True):
--- a/tests/control/agent/test_gateway_steering.py
+++ b/tests/control/agent/test_gateway_steering.py
@@ -12,9 +12,10 @@
 from tests.sockets import HOST
 
 
-async def test_gateway_when_it_does_not_apply_a_policy_then_is_suspended_and_cut_off_if_unreachable(
+async def test_gateway_that_ignores_a_policy_is_suspended(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """Where its management address cannot be reached either, its endpoint watch is ended."""
     monkeypatch.setattr(gateway_steering, "SWITCH_TIMEOUT_S", 0.0)
     async with leased_gateway(tmp_path) as fixture:
         steering = fixture.holder.steering
--- a/tests/control/agent/test_policy_decision.py
+++ b/tests/control/agent/test_policy_decision.py
@@ -10,7 +10,7 @@
 DECISION = PolicyDecision(number=4, digest="new", previous_digest="old", earliest_s=10.0, latest_s=12.0)
 
 
-def test_document_when_the_activation_time_has_come_then_is_the_new_one() -> None:
+def test_new_document_holds_from_the_activation_time() -> None:
     assert DECISION.activation_time_s() == 11.0
     assert [DECISION.digest_at(now_s) for now_s in (10.99, 11.0, 50.0)] == ["old", "new", "new"]
 
@@ -19,19 +19,20 @@
     ("earliest_s", "latest_s", "expected_s"),
     [(-math.inf, math.inf, -math.inf), (10.0, math.inf, math.inf), (-math.inf, 10.0, -math.inf)],
 )
-def test_activation_time_when_a_bound_is_unknown_then_is_infinite(
+def test_activation_time_without_a_bound_is_infinite(
     earliest_s: float, latest_s: float, expected_s: float
 ) -> None:
     assert PolicyDecision(1, "a", "b", earliest_s, latest_s).activation_time_s() == expected_s
 
 
-def test_admission_limit_when_a_switch_is_pending_then_is_after_the_activation_time() -> None:
+def test_admission_limit_follows_the_activation_time() -> None:
+    """It is set only while a switch is pending."""
     assert DECISION.admission_limit_us(10.0) == round((11.0 + SWITCH_MARGIN_S) * 1e6)
     assert DECISION.admission_limit_us(11.0) == 0
     assert PolicyDecision(4, "same", "same", 10.0, 12.0).admission_limit_us(10.0) == 0
 
 
-def test_bounds_when_the_same_decision_is_told_again_then_only_narrow() -> None:
+def test_bounds_of_a_repeated_decision_only_narrow() -> None:
     assert DECISION.updated(4, "new", "old", 9.0, 11.5) == PolicyDecision(4, "new", "old", 10.0, 11.5)
     assert DECISION.updated(4, "new", "old", 11.0, 13.0) == PolicyDecision(4, "new", "old", 11.0, 12.0)
     crossed = DECISION.updated(4, "new", "old", 12.5, 13.0)  # clocks that differ in their pace
--- a/tests/control/agent/test_policy_documents.py
+++ b/tests/control/agent/test_policy_documents.py
@@ -23,9 +23,10 @@
 )
 
 
-async def test_document_when_the_gateways_program_rejects_it_then_is_reported_and_not_ready(
+async def test_document_rejected_by_the_gateway_is_reported(
     tmp_path: Path,
 ) -> None:
+    """It is not ready, and the gateway goes on by the policy before."""
     async with leased_gateway(tmp_path, REJECT_BURST_OF_20) as fixture:
         await fixture.advance()
         await fixture.put_record(DOCUMENT_RECORD_PREFIX + DIGEST_A, DOCUMENT_A)
@@ -73,7 +74,7 @@
     """A check that finds nothing wrong."""
 
 
-async def test_document_when_the_registry_gives_another_text_then_is_not_kept(
+async def test_document_with_another_digest_is_not_kept(
     database: CacheDatabase,
 ) -> None:
     registry = FakeRegistry("one")
@@ -88,9 +89,10 @@
     assert documents.texts == {digest: "one"} and documents.checked == {digest}
 
 
-async def test_documents_when_there_are_too_many_then_drop_the_oldest_that_is_not_in_use(
+async def test_excess_documents_are_dropped_unless_in_use(
     database: CacheDatabase, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The oldest of those that are not in use goes first."""
     monkeypatch.setattr(policy_documents, "MAX_DOCUMENTS", 2)
     texts = ("one", "two", "three")
     used, unused, new = map(document_digest, texts)
--- a/tests/control/agent/test_policy_lease.py
+++ b/tests/control/agent/test_policy_lease.py
@@ -23,7 +23,7 @@
 from tests.gateway_config import write_gateway_config
 
 
-async def test_gateway_when_a_decision_is_activated_then_switches_at_the_activation_time(
+async def test_gateway_switches_at_the_activation_time(
     tmp_path: Path,
 ) -> None:
     async with leased_gateway(tmp_path) as fixture:
@@ -32,7 +32,7 @@
         assert await fixture.advance() == 200 and gateway.active.config.policy.number == first_number
         await fixture.put_record(DOCUMENT_RECORD_PREFIX + DIGEST_A, DOCUMENT_A)
         await decide(fixture.registry, DIGEST_A, "", first_number + 1)
-        assert await fixture.advance(1.0) == 200  # told at once until when its policy holds
+        assert await fixture.advance(1.0) == 200  # it learns at once until when its policy holds
         pending = gateway.active.config.policy
         assert pending.digest == "" and pending.number == first_number + 1
         assert pending.until_us == pytest.approx((fixture.time.now + 12.0 + SWITCH_MARGIN_S) * 1e6, abs=2e5)
@@ -55,7 +55,7 @@
         assert await fixture.advance(LEASE_S + 0.1) == 503
 
 
-async def test_activation_time_when_another_answer_comes_then_is_narrowed_down(tmp_path: Path) -> None:
+async def test_each_answer_narrows_the_activation_time(tmp_path: Path) -> None:
     def answer(**changes: object) -> PolicyLeaseAnswer:
         value = {"sure": True, "number": 1 << 40, "digest": "", "before": "", "prepare": "", "want": ""}
         return msgspec.convert({**value, **changes}, PolicyLeaseAnswer)
--- a/tests/control/agent/test_replication.py
+++ b/tests/control/agent/test_replication.py
@@ -11,12 +11,12 @@
 from orchidhatch.control.registry.store import Store
 from orchidhatch.proxy.server import GatewayServer
 from tests.control.agent.helpers import register_endpoint, running_agent, until
-from tests.control.registry.helpers import Watcher, address_of, call, named, serving
+from tests.control.registry.helpers import Watcher, address_of, call, lifecycles_by_id, serving
 from tests.control.test_schemas import body
 from tests.sockets import CONFIG, HOST, Backend, Client, query
 
 
-async def test_watch_when_the_registry_changes_then_passes_on_each_change_with_rising_generations(
+async def test_watch_passes_on_changes_with_rising_generations(
     tmp_path: Path,
 ) -> None:
     async with serving(tmp_path / "r.db") as registry:
@@ -24,22 +24,23 @@
         async with running_agent(tmp_path / "a.db", address_of(registry)) as agent:
             await until(lambda: agent.replicator.connected)
             watcher = await Watcher.open(address_of(agent))
-            first = await watcher.news()
+            first = await watcher.next_event()
             assert first["reset"] and first["instances"] == [json.loads(body(instanceId="s-1"))]
             await register_endpoint(registry, "s-2")
             await call(address_of(registry), "POST /entries/s-1/lifecycle", b'{"lifecycle":"DRAINING"}')
-            told: dict[str, str] = {}
+            lifecycles: dict[str, str] = {}
             last = first["generation"]
-            while told != {"s-2": "SERVING", "s-1": "DRAINING"}:
-                news = await watcher.news()
-                assert not news["reset"] and news["generation"] > last
-                last = news["generation"]
-                told |= named(news)
+            while lifecycles != {"s-2": "SERVING", "s-1": "DRAINING"}:
+                event = await watcher.next_event()
+                assert not event["reset"] and event["generation"] > last
+                last = event["generation"]
+                lifecycles |= lifecycles_by_id(event)
 
 
-async def test_replication_when_switched_to_another_registry_then_gives_its_whole_list_as_a_later_generation(
+async def test_other_registrys_list_is_a_later_generation(
     tmp_path: Path,
 ) -> None:
+    """Replication from another registry sends the watches its whole list."""
     async with serving(tmp_path / "r2.db") as second:
         await register_endpoint(second, "s-2")
         async with serving(tmp_path / "r1.db") as first:
@@ -48,18 +49,18 @@
             async with running_agent(tmp_path / "a.db", address_of(first), address_of(second)) as agent:
                 await until(lambda: agent.replicator.connected)
                 watcher = await Watcher.open(address_of(agent))
-                before = await watcher.news()
+                before = await watcher.next_event()
                 assert len(before["instances"]) == 3
                 await first.close()
-                after = await watcher.news()
-                assert after["reset"] and named(after) == {"s-2": "SERVING"}
+                after = await watcher.next_event()
+                assert after["reset"] and lifecycles_by_id(after) == {"s-2": "SERVING"}
                 assert after["generation"] > before["generation"]
                 await register_endpoint(second, "s-4")
-                assert named(await watcher.news()) == {"s-4": "SERVING"}
+                assert lifecycles_by_id(await watcher.next_event()) == {"s-4": "SERVING"}
                 assert agent.replicator.upstream_switches == 1
 
 
-async def test_replication_when_the_other_registry_is_behind_then_keeps_the_newer_list(
+async def test_registry_that_is_behind_is_passed_over(
     tmp_path: Path,
 ) -> None:
     store = Store(tmp_path / "r1.db", create=True)
@@ -90,10 +91,10 @@
         b'{"generation":2,"reset":true,"instances":7}',
     ],
 )
-async def test_watch_event_when_malformed_then_changes_nothing(tmp_path: Path, line: bytes) -> None:
+async def test_malformed_watch_event_changes_nothing(tmp_path: Path, line: bytes) -> None:
     agent = Agent(open_cache(tmp_path / "a.db"), [(HOST, 1)])
-    told = b'{"generation":1,"reset":true,"instances":[%b,{"odd":1},5]}' % body(instanceId="s-1")
-    await agent.replicator.apply_event("x 1", told)
+    first_line = b'{"generation":1,"reset":true,"instances":[%b,{"odd":1},5]}' % body(instanceId="s-1")
+    await agent.replicator.apply_event("x 1", first_line)
     assert list(agent.store.entries) == ["s-1"] and agent.replicator.malformed_endpoints == 2
     before = agent.store.generation
     with pytest.raises(InvalidRequestError):
@@ -101,7 +102,7 @@
     assert agent.store.generation == before and list(agent.store.entries) == ["s-1"]
 
 
-async def test_gateway_when_moved_to_another_service_then_uses_its_whole_list(tmp_path: Path) -> None:
+async def test_gateway_uses_the_list_of_its_new_service(tmp_path: Path) -> None:
     """As a SIGHUP does, by a configuration that names another address."""
     backends = [Backend(), Backend()]
     async with serving(tmp_path / "r1.db") as first, serving(tmp_path / "r2.db") as second:
@@ -110,12 +111,12 @@
             await register_endpoint(registry, f"s-{registry is second}", hostPort=f"{at[0]}:{at[1]}")
         async with running_agent(tmp_path / "a.db", address_of(second)) as agent:
             await until(lambda: agent.replicator.connected)
-            door = GatewayServer(replace(CONFIG, discovery=address_of(first)))
-            await door.start()
-            await until(lambda: "s-False" in door.catalog.entries)
-            client = await Client.open(door.server.sockets[0].getsockname())
+            gateway = GatewayServer(replace(CONFIG, discovery=address_of(first)))
+            await gateway.start()
+            await until(lambda: "s-False" in gateway.catalog.entries)
+            client = await Client.open(gateway.server.sockets[0].getsockname())
             assert await client.ask(query("a0")) == b"ok" and len(backends[0].commands) == 1
-            door.reload(replace(door.active.config, discovery=address_of(agent)))
-            await until(lambda: list(door.catalog.entries) == ["s-True"])
+            gateway.reload(replace(gateway.active.config, discovery=address_of(agent)))
+            await until(lambda: list(gateway.catalog.entries) == ["s-True"])
             assert await client.ask(query("a1")) == b"ok" and len(backends[1].commands) == 1
-            door.close()
+            gateway.close()
--- a/tests/control/agent/test_service.py
+++ b/tests/control/agent/test_service.py
@@ -10,12 +10,12 @@
 from orchidhatch.control.registry.store import Batch
 from orchidhatch.proxy.server import GatewayServer
 from tests.control.agent.helpers import register_endpoint, running_agent, start_agent_process, until
-from tests.control.registry.helpers import Watcher, address_of, call, named, serving, start
+from tests.control.registry.helpers import Watcher, address_of, call, lifecycles_by_id, serving, start
 from tests.control.test_schemas import body
 from tests.sockets import CONFIG, Backend, Client, query, refusing_address
 
 
-async def test_agent_when_all_registries_are_down_then_serves_its_list_and_says_its_age(
+async def test_agent_without_registries_serves_its_list_and_age(
     tmp_path: Path,
 ) -> None:
     now = [1_000_000]
@@ -28,21 +28,23 @@
             generation = agent.store.generation
     now[0] += 90_000
     async with running_agent(tmp_path / "a.db", refusing_address(), wall_clock_ms=lambda: now[0]) as agent:
-        news = await (await Watcher.open(address_of(agent), generation)).news()
-        assert (news["generation"], news["reset"], news["instances"]) == (generation, False, [])
-        assert named((await call(address_of(agent), "GET /catalog/members"))[1]) == {"s-1": "SERVING"}
+        event = await (await Watcher.open(address_of(agent), generation)).next_event()
+        assert (event["generation"], event["reset"], event["instances"]) == (generation, False, [])
+        assert lifecycles_by_id((await call(address_of(agent), "GET /catalog/members"))[1]) == {
+            "s-1": "SERVING"
+        }
         status, health = await call(address_of(agent), "GET /healthcheck")
         assert (status, health["connected"], health["listAgeSeconds"]) == (200, False, 90.0)
         assert "agent_list_age_seconds 90.0\n" in (await call(address_of(agent), "GET /metrics"))[1]
 
 
-async def test_health_when_no_list_was_ever_received_then_is_unavailable(tmp_path: Path) -> None:
+async def test_health_without_a_list_is_unavailable(tmp_path: Path) -> None:
     async with running_agent(tmp_path / "a.db", refusing_address()) as agent:
         assert (await call(address_of(agent), "GET /healthcheck"))[0] == 503
         assert (await call(address_of(agent), "POST /entries", body()))[0] == 404
 
 
-def test_open_cache_when_damaged_then_sets_it_aside_and_begins_anew(tmp_path: Path) -> None:
+def test_open_cache_sets_a_damaged_file_aside(tmp_path: Path) -> None:
     path = tmp_path / "a.db"
     path.write_bytes(b"no such thing" * 500)
     store = open_cache(path)
@@ -51,7 +53,7 @@
     store.close()
 
 
-async def test_gateway_when_registry_and_agent_are_killed_then_goes_on_serving(tmp_path: Path) -> None:
+async def test_gateway_serves_on_without_registry_and_agent(tmp_path: Path) -> None:
     listen, at, backend = refusing_address(), refusing_address(), Backend()
     registry = await start(tmp_path / "r.db", listen, "--create")
     address = await backend.start()
@@ -62,16 +64,16 @@
         return await start_agent_process(tmp_path / "a.db", at, listen)
 
     one = await agent()
-    door = GatewayServer(replace(CONFIG, discovery=at))
-    await door.start()
-    client = await Client.open(door.server.sockets[0].getsockname())
-    await until(lambda: door.catalog.entries)
+    gateway = GatewayServer(replace(CONFIG, discovery=at))
+    await gateway.start()
+    client = await Client.open(gateway.server.sockets[0].getsockname())
+    await until(lambda: gateway.catalog.entries)
     assert await client.ask(query("a0")) == b"ok"
     for process in (registry, one):
         process.send_signal(signal.SIGKILL)
         await process.wait()
     assert await client.ask(query("a1")) == b"ok"
-    version = door.catalog.version
+    version = gateway.catalog.version
     one = await agent()  # with no registry: the list that it had
     fresh = GatewayServer(replace(CONFIG, discovery=at))
     await fresh.start()
@@ -80,7 +82,7 @@
     assert await other.ask(query("b0")) == b"ok"
     registry = await start(tmp_path / "r.db", listen)
     assert (await call(listen, "POST /entries/s-1/lifecycle", b'{"lifecycle":"DRAINING"}'))[0] == 200
-    for found in (door, fresh):
+    for found in (gateway, fresh):
         await until(lambda found=found: found.catalog.entries["s-1"]["lifecycle"] == "DRAINING")
         assert found.catalog.version > version
         found.close()
@@ -89,7 +91,7 @@
         assert await process.wait() == 0
 
 
-async def test_agent_when_its_disk_is_slow_then_still_answers(tmp_path: Path) -> None:
+async def test_agent_answers_while_its_disk_is_slow(tmp_path: Path) -> None:
     """News is on its way to the disk for as long as the test likes; watches go on hearing of the agent."""
     async with (
         serving(tmp_path / "1.db") as registry,
@@ -107,6 +109,6 @@
         await until(lambda: agent.store_executor.lock.locked())
         assert (await call(address_of(agent), "GET /healthcheck"))[0] == 200
         watcher = await Watcher.open(address_of(agent))
-        assert not (await watcher.news())["instances"]
+        assert not (await watcher.next_event())["instances"]
         written.set()
-        assert [one["instanceId"] for one in (await watcher.news())["instances"]] == ["s-1"]
+        assert [one["instanceId"] for one in (await watcher.next_event())["instances"]] == ["s-1"]
--- a/tests/control/controller/test_backup.py
+++ b/tests/control/controller/test_backup.py
@@ -14,9 +14,10 @@
 EIGHT_DAYS_S = 8 * 24 * 3600
 
 
-async def test_backups_when_made_are_checked_kept_by_count_and_age_and_made_by_owners(
+async def test_backups_are_kept_by_count_and_age(
     running_registry: Callable[[], AbstractAsyncContextManager[Registry]], tmp_path: Path
 ) -> None:
+    """They are made by an operator or by the task's owner."""
     folder = tmp_path / "copies"
     async with running_registry() as registry:
         address = address_of(registry)
@@ -48,9 +49,10 @@
         assert (await call(address, "DELETE /entries/s-1"))[0] == 200  # writes go on
 
 
-async def test_backup_when_it_fails_names_the_reason_and_is_tried_again_after_the_interval(
+async def test_failed_backup_is_repeated_after_the_interval(
     running_registry: Callable[[], AbstractAsyncContextManager[Registry]],
 ) -> None:
+    """The task's message has the reason."""
     async with running_registry() as registry:
         assert (await client(address_of(registry), "backup", "--every", "1h"))[0] == 0
         controller = await start_controller(registry, "controller-1")
--- a/tests/control/controller/test_command.py
+++ b/tests/control/controller/test_command.py
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize("module", [controller, steward])
-def test_both_names_start_the_controller_and_help_tells_the_alias(
+def test_help_of_both_names_tells_the_alias(
     module: object, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setattr(sys, "argv", ["x", "--help"])
--- a/tests/control/controller/test_countdown.py
+++ b/tests/control/controller/test_countdown.py
@@ -29,13 +29,13 @@
     return BackupRecord(interval_ms=60_000, remaining_ms=remaining_ms)
 
 
-def test_remaining_time_when_counted_first_is_saved_with_the_time_of_the_clock(clock: FakeClock) -> None:
+def test_first_count_saves_the_time_of_the_clock(clock: FakeClock) -> None:
     record = new_record(10_000)
     assert count_down(record, SAVE_INTERVAL_S)
     assert (record.remaining_ms, record.counted_at_s) == (10_000, 1000.0)
 
 
-def test_remaining_time_when_little_has_passed_is_not_saved(clock: FakeClock) -> None:
+def test_short_passage_of_time_is_not_saved(clock: FakeClock) -> None:
     record = new_record(10_000)
     count_down(record, SAVE_INTERVAL_S)
     clock.now_s += 1.9
@@ -46,7 +46,7 @@
     assert (record.remaining_ms, record.counted_at_s) == (8_000, 1002.0)
 
 
-def test_remaining_time_when_over_is_saved_at_once(clock: FakeClock) -> None:
+def test_end_of_the_time_is_saved_at_once(clock: FakeClock) -> None:
     record = new_record(500)
     count_down(record, SAVE_INTERVAL_S)
     clock.now_s += 0.6
@@ -55,9 +55,7 @@
 
 
 @pytest.mark.parametrize("difference_s", [-5.0, 4.0, 500.0])
-def test_remaining_time_when_counted_by_another_machines_clock_or_after_a_pause_stays(
-    clock: FakeClock, difference_s: float
-) -> None:
+def test_remaining_time_ignores_other_clocks_and_pauses(clock: FakeClock, difference_s: float) -> None:
     record = new_record(10_000)
     count_down(record, SAVE_INTERVAL_S)
     clock.now_s += difference_s
--- a/tests/control/controller/test_drain.py
+++ b/tests/control/controller/test_drain.py
@@ -13,9 +13,10 @@
 from tests.control.test_schemas import body
 
 
-async def test_drain_when_its_owner_is_replaced_is_ended_by_the_next_and_the_late_owner_is_fenced(
+async def test_drain_is_ended_by_its_next_owner(
     running_registry: Callable[[], AbstractAsyncContextManager[Registry]],
 ) -> None:
+    """The owner that was replaced is fenced."""
     async with running_registry() as registry:
         address = address_of(registry)
         assert (await call(address, "POST /entries", body(instanceId="s-1")))[0] == 200
@@ -44,7 +45,7 @@
         assert not registry.store.claims_table.sessions
 
 
-async def test_drain_when_the_endpoint_is_not_listed_is_done(
+async def test_drain_of_an_unlisted_endpoint_is_done(
     running_registry: Callable[[], AbstractAsyncContextManager[Registry]],
 ) -> None:
     async with running_registry() as registry:
--- a/tests/control/controller/test_drain_steps.py
+++ b/tests/control/controller/test_drain_steps.py
@@ -21,7 +21,8 @@
     return Drain("task.drain-s-1", 1, record)
 
 
-async def test_marked_drain_when_an_agent_does_not_answer_goes_on_and_names_it() -> None:
+async def test_marked_drain_goes_on_without_an_agent() -> None:
+    """Its message names the agent that does not answer."""
     context = FakeContext()
     context.missing_agents = [AGENT]
     drain = drain_in(DrainState.MARKED, remaining_ms=1000)
@@ -30,7 +31,8 @@
     assert (drain.record.state, drain.record.message) == (DrainState.WITHDRAWN, f"not notified: {AGENT}")
 
 
-async def test_drain_when_not_every_gateway_restores_the_endpoint_waits_and_keeps_it_draining() -> None:
+async def test_drain_waits_for_every_gateway_to_restore() -> None:
+    """The endpoint is draining until then."""
     context = FakeContext()
     context.missing_agents = [AGENT]
     drain = drain_in(DrainState.ENDING)
@@ -44,14 +46,14 @@
     assert context.lifecycles == {"s-1": "SERVING"}
 
 
-async def test_waiting_drain_when_its_time_is_over_ends() -> None:
+async def test_waiting_drain_ends_after_its_time() -> None:
     drain = drain_in(DrainState.WITHDRAWN)
     await drain.step(FakeContext())
     assert (drain.record.state, drain.record.done) == (DrainState.ENDING, False)
 
 
 @pytest.mark.parametrize("state", [DrainState.REQUESTED, DrainState.ENDING])
-async def test_drain_when_the_registry_rejects_the_change_fails(state: DrainState) -> None:
+async def test_drain_fails_if_the_registry_rejects_it(state: DrainState) -> None:
     context = FakeContext()
     context.reply = CONFLICT
     for end in DrainEnd:
@@ -61,7 +63,7 @@
         assert drain.record.state is state
 
 
-async def test_removal_when_the_endpoint_is_gone_already_is_done() -> None:
+async def test_removal_of_a_removed_endpoint_is_done() -> None:
     context = FakeContext()
     context.reply = NOT_FOUND
     drain = drain_in(DrainState.ENDING, DrainEnd.REMOVE)
@@ -70,7 +72,7 @@
 
 
 @pytest.mark.parametrize("state", [DrainState.REMOVED, DrainState.RESTORED, DrainState.UNLISTED])
-async def test_drain_when_it_has_ended_does_nothing(state: DrainState) -> None:
+async def test_ended_drain_does_nothing(state: DrainState) -> None:
     context = FakeContext()
     drain = drain_in(state)
     await drain.step(context)
--- a/tests/control/controller/test_lease_expiry.py
+++ b/tests/control/controller/test_lease_expiry.py
@@ -17,7 +17,7 @@
 from tests.control.test_schemas import body
 
 
-async def test_leases_when_overdue_are_ended_by_the_owner_and_without_one_by_the_registry(
+async def test_owner_or_else_the_registry_ends_overdue_leases(
     running_registry: Callable[[], AbstractAsyncContextManager[Registry]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with running_registry() as registry:
@@ -53,8 +53,7 @@
         monkeypatch.setattr("orchidhatch.control.registry.service.CHECK_INTERVAL_S", 0.01)
         entry = registry.store.entries["s-19"]
         registry.lease_expiry.leases.restore_overdue(entry, now)
-        assert (
-            now - registry.lease_expiry.last_owner_call_s < OWNER_ACTIVE_S
-        )  # the registry does not look itself meanwhile
+        # The registry does not check them itself meanwhile.
+        assert now - registry.lease_expiry.last_owner_call_s < OWNER_ACTIVE_S
         now += OWNER_ACTIVE_S
         await until(lambda: "s-19" not in registry.store.entries)
--- a/tests/control/controller/test_session.py
+++ b/tests/control/controller/test_session.py
@@ -3,12 +3,13 @@
 import asyncio
 from collections.abc import Callable
 from contextlib import AbstractAsyncContextManager, suppress
+from types import SimpleNamespace
 
 import pytest
 
 from orchidhatch.control.controller.errors import SessionLostError, StepPostponedError
 from orchidhatch.control.controller.service import Controller
-from orchidhatch.control.controller.session import ACTING_SHARE_OF_LEASE
+from orchidhatch.control.controller.session import ACTING_SHARE_OF_LEASE, Session
 from orchidhatch.control.controller.shards import SHARDS
 from orchidhatch.control.registry.service import Registry
 from tests.control.agent.helpers import until
@@ -16,7 +17,7 @@
 from tests.control.registry.helpers import address_of
 
 
-async def test_session_when_another_process_has_the_name_is_not_opened(
+async def test_session_of_a_name_in_use_is_not_opened(
     running_registry: Callable[[], AbstractAsyncContextManager[Registry]],
 ) -> None:
     async with running_registry() as registry:
@@ -28,9 +29,10 @@
 
 
 @pytest.mark.parametrize("opens_another", [False, True])
-async def test_session_when_it_was_ended_at_the_registry_is_lost_at_the_next_renewal(
+async def test_ended_session_is_lost_at_the_next_renewal(
     running_registry: Callable[[], AbstractAsyncContextManager[Registry]], opens_another: bool
 ) -> None:
+    """It was ended at the registry, without this process."""
     async with running_registry() as registry:
         controller = await start_controller(registry, "controller-1")
         await controller.session.renew()
@@ -43,7 +45,7 @@
             await controller.session.renew()
 
 
-async def test_session_when_its_share_of_the_lease_has_passed_allows_no_action(
+async def test_session_allows_no_action_late_in_its_lease(
     running_registry: Callable[[], AbstractAsyncContextManager[Registry]],
 ) -> None:
     async with running_registry() as registry:
@@ -69,7 +71,7 @@
         assert not registry.store.claims_table.records
 
 
-async def test_session_when_lost_while_kept_drops_its_shards_and_is_opened_anew(
+async def test_lost_session_drops_its_shards_and_is_reopened(
     running_registry: Callable[[], AbstractAsyncContextManager[Registry]],
 ) -> None:
     async with running_registry() as registry:
@@ -87,3 +89,15 @@
         keeping.cancel()
         with suppress(asyncio.CancelledError):
             await keeping
+
+
+async def test_malformed_renewal_loses_the_session() -> None:
+    """It ends no controller."""
+
+    class OddRegistry:
+        async def renew_session(self, holder: str, incarnation: str) -> SimpleNamespace:
+            return SimpleNamespace(status=200, ok=True, body={"claims": "odd"})
+
+    session = Session("c", OddRegistry(), SimpleNamespace())
+    with pytest.raises(SessionLostError, match="malformed"):
+        await session.renew()
--- a/tests/control/controller/test_shard_assignment.py
+++ b/tests/control/controller/test_shard_assignment.py
@@ -11,7 +11,8 @@
 
 
 @given(st.integers(1, 40), st.integers(0, 2**32))
-def test_shares_when_a_holder_comes_or_goes_stay_even_and_few_shards_move(count: int, seed: int) -> None:
+def test_shares_stay_even_and_few_shards_move(count: int, seed: int) -> None:
+    """As holders come and go."""
     generator = random.Random(seed)
     all_holders = [f"controller-{generator.getrandbits(32):x}" for _ in range(count + 1)]
     some_holders = all_holders[:count]
--- a/tests/control/controller/test_shards.py
+++ b/tests/control/controller/test_shards.py
@@ -12,7 +12,7 @@
 from tests.sockets import refusing_address
 
 
-async def test_shards_when_a_release_gets_no_reply_are_released_before_they_are_taken(
+async def test_release_without_reply_is_repeated_before_a_take(
     running_registry: Callable[[], AbstractAsyncContextManager[Registry]],
 ) -> None:
     async with running_registry() as registry:
@@ -37,7 +37,7 @@
         assert all(holders[shard] == second.session.holder for shard in second.owned.names())
 
 
-async def test_shard_when_handed_over_by_an_operator_goes_to_that_controller_and_stays_there(
+async def test_handed_over_shard_stays_with_its_controller(
     running_registry: Callable[[], AbstractAsyncContextManager[Registry]],
 ) -> None:
     async with running_registry() as registry:
@@ -54,7 +54,7 @@
         assert shard in first.owned and shard not in second.owned
 
 
-async def test_rebalance_when_there_is_no_session_takes_nothing(
+async def test_rebalance_without_a_session_takes_nothing(
     running_registry: Callable[[], AbstractAsyncContextManager[Registry]],
 ) -> None:
     async with running_registry() as registry:
@@ -63,7 +63,7 @@
         assert not controller.owned.names() and not registry.store.claims_table.claims
 
 
-async def test_shard_when_suspended_by_an_operator_is_not_released_to_its_next_owner(
+async def test_suspended_shard_is_not_released(
     running_registry: Callable[[], AbstractAsyncContextManager[Registry]],
 ) -> None:
     async with running_registry() as registry:
@@ -78,7 +78,8 @@
         assert other not in first.owned and other in second.owned
 
 
-def test_owned_shards_when_the_registry_has_another_epoch_or_none_are_dropped() -> None:
+def test_owned_shard_without_its_epoch_is_dropped() -> None:
+    """The registry has it at another epoch, or not at all."""
     owned = OwnedShards()
     for number, shard in enumerate(SHARDS[:3]):
         owned.add(shard, epoch=number)
--- a/tests/control/controller/test_summary.py
+++ b/tests/control/controller/test_summary.py
@@ -33,7 +33,7 @@
         (sample(0, errored=19), {}),
     ],
 )
-def test_gateway_when_unlike_the_others_is_named(last: MetricsSample | None, outliers: Any) -> None:  # noqa: ANN401
+def test_gateway_unlike_the_others_is_named(last: MetricsSample | None, outliers: Any) -> None:  # noqa: ANN401
     before = {f"d-{n}": sample(n, n) for n in range(10)}
     now = {f"d-{n}": sample(n + 97 + n % 3, n + 3 - n % 3) for n in range(9)}
     now["d-9"] = last and sample(9 + last.answered, 9, last.errored, 9 + last.sends)
@@ -59,7 +59,7 @@
 )
 
 
-def test_metrics_when_one_is_missing_or_no_number_give_no_sample() -> None:
+def test_incomplete_metrics_give_no_sample() -> None:
     assert parse_gateway_metrics(METRICS) == MetricsSample(6, 3, 3, 3, 3, 3)
     assert parse_gateway_metrics(METRICS.replace(" 3", " NaN")) is None
     assert parse_gateway_metrics("") is None
@@ -72,7 +72,7 @@
     writer.close()
 
 
-async def test_summary_when_due_is_read_through_the_agents_by_its_owner(
+async def test_owner_reads_the_summary_through_the_agents(
     running_registry: Callable[[], AbstractAsyncContextManager[Registry]], tmp_path: Path
 ) -> None:
     gateway = await asyncio.start_server(answer_metrics, HOST, 0)
--- a/tests/control/controller/test_task_context.py
+++ b/tests/control/controller/test_task_context.py
@@ -46,14 +46,14 @@
     return Drain("task.drain-s-1", 41, new_drain("s-1", 0, DrainEnd.REMOVE))
 
 
-async def test_write_when_carried_out_names_the_claim_and_its_epoch() -> None:
+async def test_write_names_the_claim_and_its_epoch() -> None:
     client = FakeRegistryClient(HttpResponse(HTTPStatus.OK, {}))
     assert (await context_with(client).set_lifecycle("s-1", "DRAINING")).ok
     fenced = {"claim": SHARDS[0], "epoch": EPOCH, "lifecycle": "DRAINING"}
     assert client.requests == [("POST", "/entries/s-1/lifecycle", fenced)]
 
 
-async def test_write_when_the_claim_is_another_controllers_raises_fenced() -> None:
+async def test_write_under_a_lost_claim_raises_fenced() -> None:
     error = {"error": f"claim {SHARDS[0]} is at epoch 9, not 7"}
     context = context_with(FakeRegistryClient(HttpResponse(HTTPStatus.CONFLICT, error)))
     with pytest.raises(FencedError, match="at epoch 9"):
@@ -63,7 +63,7 @@
 @pytest.mark.parametrize(
     "reply", [NoResponse("refused"), HttpResponse(HTTPStatus.SERVICE_UNAVAILABLE, {"error": "disk"})]
 )
-async def test_write_or_read_when_no_registry_takes_it_raises_unavailable(reply: CallResult) -> None:
+async def test_request_without_a_registry_postpones_the_step(reply: CallResult) -> None:
     context = context_with(FakeRegistryClient(reply))
     with pytest.raises(StepPostponedError):
         await context.create_backup()
@@ -71,14 +71,15 @@
         await context.read_record("r")
 
 
-async def test_write_when_the_shard_is_owned_at_another_epoch_is_not_sent() -> None:
+async def test_write_at_another_epoch_is_not_sent() -> None:
     client = FakeRegistryClient(HttpResponse(HTTPStatus.OK, {}))
     with pytest.raises(StepPostponedError):
         await context_with(client, owned_epoch=EPOCH + 1).expire_leases()
     assert not client.requests
 
 
-async def test_save_when_the_record_was_written_since_raises_stale_and_names_the_version_read() -> None:
+async def test_save_over_a_newer_record_raises_stale() -> None:
+    """The write names the version that was read."""
     error = {"error": "record task.drain-s-1 is at version 42, not 41"}
     client = FakeRegistryClient(HttpResponse(HTTPStatus.CONFLICT, error))
     with pytest.raises(StaleRecordError, match="at version 42"):
@@ -87,14 +88,14 @@
     assert path == "/records/task.drain-s-1" and body["ifVersion"] == 41
 
 
-async def test_save_when_carried_out_keeps_the_new_version() -> None:
+async def test_save_keeps_the_new_version() -> None:
     stored = {"name": "task.drain-s-1", "text": "{}", "version": 57}
     task = new_task()
     await context_with(FakeRegistryClient(HttpResponse(HTTPStatus.OK, stored))).save(task)
     assert task.version == 57 and task.record.message == ""
 
 
-async def test_gateways_when_commanded_get_the_call_number_and_those_that_fail_are_named(
+async def test_commands_carry_a_number_and_name_failures(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     calls: list[tuple[Address, str, str, Any]] = []
@@ -111,7 +112,7 @@
     assert calls == [(agent, "POST", "/door/backends/s-1/maint", fenced) for agent in AGENTS]
 
 
-async def test_gateways_when_an_agent_knows_a_later_epoch_raise_fenced(
+async def test_command_raises_fenced_at_a_later_epoch(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def call(agent: Address, *_: object) -> CallResult:
@@ -123,7 +124,7 @@
         await context.command_gateways(new_task(), "s-1", GatewayCommand.RESTORE)
 
 
-async def test_gateways_when_the_call_comes_after_a_later_one_are_only_named(
+async def test_command_after_a_later_one_only_names_agents(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def call(agent: Address, *_: object) -> CallResult:
--- a/tests/control/controller/test_task_records.py
+++ b/tests/control/controller/test_task_records.py
@@ -40,7 +40,8 @@
 
 
 @pytest.mark.parametrize("name", STORED)
-def test_record_when_read_and_written_again_is_the_same_to_the_letter(name: str) -> None:
+def test_stored_record_survives_decode_and_encode(name: str) -> None:
+    """To the letter."""
     text = STORED[name]
     task_type = TASK_TYPES[decode_header(name, text).kind]
     assert encode_task_record(decode_stored(text, task_type.record_type)) == text
@@ -61,13 +62,12 @@
         ),
     ],
 )
-def test_request_for_a_task_when_encoded_is_as_earlier_versions_write_it(
-    record: msgspec.Struct, text: str
-) -> None:
+def test_new_task_is_encoded_as_by_earlier_versions(record: msgspec.Struct, text: str) -> None:
     assert encode_task_record(record) == text
 
 
-def test_request_for_a_policy_change_when_encoded_has_the_fields_that_earlier_versions_read() -> None:
+def test_new_policy_change_has_the_earlier_fields() -> None:
+    """Those that earlier versions read."""
     change = new_change("0123456789abcdef", "me", "y", Gate(for_ms=4000), force=True)
     assert json.loads(encode_task_record(change)) == {
         "kind": "policy",
@@ -87,6 +87,6 @@
     "text",
     ["", "{}", "[]", "null", '{"kind": "what"}', '{"kind": ["drain"]}', '{"kind": "drain", "done": 2}'],
 )
-def test_text_when_it_is_no_task_is_rejected_with_the_records_name(text: str) -> None:
+def test_text_of_no_task_is_rejected_by_name(text: str) -> None:
     with pytest.raises(InvalidTaskError, match=r"task\.what"):
         decode_header("task.what", text)
--- a/tests/control/controller/test_task_runner.py
+++ b/tests/control/controller/test_task_runner.py
@@ -11,7 +11,7 @@
 DRAIN = {"kind": "drain", "id": "s-1", "leftMs": 100, "then": "back", "state": "out", "done": False}
 
 
-async def test_shard_when_a_task_in_it_keeps_failing_is_released_with_the_reason(
+async def test_shard_of_a_failing_task_is_released_with_reason(
     running_registry: Callable[[], AbstractAsyncContextManager[Registry]],
 ) -> None:
     async with running_registry() as registry:
@@ -28,7 +28,7 @@
         assert released.released_by == "controller-1" and "task.drain-s-1" in released.reason
 
 
-async def test_task_when_it_is_done_is_not_stepped_again(
+async def test_done_task_is_not_stepped_again(
     running_registry: Callable[[], AbstractAsyncContextManager[Registry]],
 ) -> None:
     async with running_registry() as registry:
--- a/tests/control/ownership/test_service.py
+++ b/tests/control/ownership/test_service.py
@@ -13,7 +13,7 @@
     return (await call(at, "POST /sessions", json.dumps(value).encode()))[0]
 
 
-async def test_session_when_renewed_then_keeps_all_its_claims_and_else_frees_them(tmp_path: Path) -> None:
+async def test_session_keeps_its_claims_while_renewed(tmp_path: Path) -> None:
     async with serving(tmp_path / "1.db") as registry:
         at, now = address_of(registry), registry.clock()
         registry.clock = lambda: now
@@ -27,20 +27,20 @@
         known = (await call(at, "GET /claims"))[1]["version"]
         waiting = asyncio.create_task(call(at, f"GET /claims/after/{known}"))
         now += 0.9
-        status, told = await call(at, "POST /sessions/a/renew", b'{"life":"1"}')
-        assert status == 200 and told["claims"]["y"] == claim["epoch"] and len(told["claims"]) == 2
+        status, response = await call(at, "POST /sessions/a/renew", b'{"life":"1"}')
+        assert status == 200 and response["claims"]["y"] == claim["epoch"] and len(response["claims"]) == 2
         now += 0.9
         registry.ownership.check()
         assert [one["holder"] for one in (await waiting)[1]["claims"]] == ["a", "a"]
         await until(lambda: list(registry.store.claims_table.sessions) == ["a"])
         body_ = json.dumps({"lifecycle": "DRAINING", "claim": "x", "epoch": claim["epoch"]}).encode()
-        status, told = await call(at, "POST /entries/s-1/lifecycle", body_)
-        assert status == 409 and str(claim["epoch"]) in told["error"] and "claim x" in told["error"]
+        status, response = await call(at, "POST /entries/s-1/lifecycle", body_)
+        assert status == 409 and str(claim["epoch"]) in response["error"] and "claim x" in response["error"]
         assert (await call(at, "DELETE /sessions/a", b'{"life":"1"}'))[0] == 200
         assert {one.holder for one in registry.store.claims_table.claims.values()} == {""}
 
 
-async def test_sessions_when_most_expire_together_then_are_withheld_for_a_while(tmp_path: Path) -> None:
+async def test_mass_expiry_of_sessions_is_withheld_for_a_while(tmp_path: Path) -> None:
     async with serving(tmp_path / "1.db") as registry:
         now = registry.clock()
         registry.clock = lambda: now
@@ -79,7 +79,7 @@
 ]
 
 
-async def test_request_when_it_makes_no_sense_then_is_rejected_and_changes_nothing(tmp_path: Path) -> None:
+async def test_malformed_request_changes_nothing(tmp_path: Path) -> None:
     async with serving(tmp_path / "1.db") as registry:
         at = address_of(registry)
         await open_session(at, "a")
--- a/tests/control/ownership/test_transactions.py
+++ b/tests/control/ownership/test_transactions.py
@@ -56,9 +56,10 @@
 
 
 @given(st.lists(steps, max_size=40))
-def test_claims_when_written_in_any_order_then_epochs_are_unique_and_only_the_holder_writes(
+def test_epochs_are_unique_and_only_the_holder_writes(
     steps: list[Any],
 ) -> None:
+    """Whatever the order of writes."""
     table = ClaimsTable()
     term = 1
     granted = set[int]()
@@ -108,7 +109,8 @@
     return written
 
 
-def test_claim_when_handed_over_released_or_lost_then_is_kept_from_others() -> None:
+def test_claim_is_kept_from_others() -> None:
+    """One that was handed over, released over failures or lost too often."""
     table = ClaimsTable()
     write_all(table, *(OpenSession(Session(name, name, 1000)) for name in HOLDERS))
     *_, claim = write_all(table, TakeClaim("x", "a", "a"))
@@ -130,7 +132,7 @@
     write_all(table, SuspendClaim("x", False), TakeClaim("x", "a", "a"))
 
 
-def test_fence_when_checked_in_a_batch_then_holds_for_the_writes_before_it(tmp_path: Path) -> None:
+def test_fence_sees_the_writes_before_it_in_a_batch(tmp_path: Path) -> None:
     store = Store(tmp_path / "list.db", create=True)
     store.apply([OpenSession(Session("a", "1", 1000)), OpenSession(Session("b", "1", 1000))])
     one(store, TakeClaim("x", "a", "1"))
@@ -164,7 +166,8 @@
         Store(tmp_path / "list.db")
 
 
-def test_fence_when_its_claim_is_suspended_then_rejects_writes_until_it_is_resumed() -> None:
+def test_fence_of_a_suspended_claim_rejects_writes() -> None:
+    """Until the claim is resumed."""
     table = ClaimsTable()
     *_, claim = write_all(table, OpenSession(Session("a", "1", 1000)), TakeClaim("x", "a", "1"))
     put = PutRecord("r", "text", fence=Fence("x", claim.epoch))
--- a/tests/control/policy/helpers.py
+++ b/tests/control/policy/helpers.py
@@ -51,15 +51,15 @@
         yield registry
 
 
-async def renew(registry: Registry, gateway: str, **told: Any) -> tuple[int, Any]:  # noqa: ANN401
+async def renew(registry: Registry, gateway: str, **changes: Any) -> tuple[int, Any]:  # noqa: ANN401
     """Renew a gateway's lease as its agent does, listing it first if need be; the status and the answer."""
-    report = report_of(gateway) | told
+    report = report_of(gateway) | changes
     content = json.dumps(report).encode()
     status, answer = await call(address_of(registry), f"POST /doors/{gateway}/renew", content)
     if status == 404:
         written = json.dumps({"name": gateway, "life": report["life"], "zone": gateway[0]}).encode()
         assert (await call(address_of(registry), "POST /doors", written))[0] == 200
-        return await renew(registry, gateway, **told)
+        return await renew(registry, gateway, **changes)
     return status, answer
 
 
@@ -135,10 +135,10 @@
         for gateway in self.gateways:
             await renew(self.registry, gateway, **self.reports[gateway])
 
-    def report(self, **told: Any) -> None:  # noqa: ANN401
+    def report(self, **changes: Any) -> None:  # noqa: ANN401
         """What all gateways report from now on."""
         for gateway in self.gateways:
-            self.reports[gateway] |= told
+            self.reports[gateway] |= changes
 
     async def put_record(self, name: str, text: str) -> None:
         self.registry.writes.enqueue_internal(PutRecord(name, text))
--- a/tests/control/policy/test_change.py
+++ b/tests/control/policy/test_change.py
@@ -29,9 +29,8 @@
 )
 
 
-async def test_change_when_all_who_may_serve_are_ready_is_decided_and_names_who_is_absent(
-    tmp_path: Path, clock: FakeClock
-) -> None:
+async def test_change_is_decided_once_all_are_ready(tmp_path: Path, clock: FakeClock) -> None:
+    """All that may serve; it names the absent gateways."""
     async with registry_on_clock(tmp_path / "1.db", clock) as registry:
         fleet = Fleet(registry, clock, "a", "b", "c", "d", "e")
         await fleet.start()
@@ -67,7 +66,7 @@
         (None, 0, "dropped"),
     ],
 )
-async def test_change_when_anything_fails_before_the_decision_is_applied_nowhere(
+async def test_change_failing_before_its_decision_is_not_applied(
     reported: dict[str, Any] | None,
     wait_s: float,
     reason: str,
@@ -97,9 +96,8 @@
         assert (await renew(registry, "b"))[1]["prepare"] == ""
 
 
-async def test_change_when_its_owner_is_replaced_is_decided_by_the_next_and_not_by_the_late_one(
-    tmp_path: Path, clock: FakeClock
-) -> None:
+async def test_change_is_decided_by_its_next_owner(tmp_path: Path, clock: FakeClock) -> None:
+    """The owner that was replaced decides nothing."""
     async with registry_on_clock(tmp_path / "1.db", clock) as registry:
         fleet = Fleet(registry, clock, "a")
         await fleet.start()
@@ -124,9 +122,7 @@
         assert "epoch" in str(rejected)
 
 
-async def test_change_when_its_gate_fails_has_the_policy_before_decided_again(
-    tmp_path: Path, countdown_clock: FakeClock
-) -> None:
+async def test_failed_gate_restores_the_policy_before(tmp_path: Path, countdown_clock: FakeClock) -> None:
     clock = countdown_clock
     async with registry_on_clock(tmp_path / "1.db", clock) as registry:
         fleet = Fleet(registry, clock, "a")
--- a/tests/control/policy/test_change_steps.py
+++ b/tests/control/policy/test_change_steps.py
@@ -84,13 +84,13 @@
 
 
 @pytest.mark.parametrize("state", [ChangeState.REQUESTED, ChangeState.DECIDING, ChangeState.DECIDED])
-async def test_change_when_the_registry_may_miss_a_decision_waits(state: ChangeState) -> None:
+async def test_change_waits_for_a_certain_registry(state: ChangeState) -> None:
     change = change_in(state)
     await change.step(context_with(fleet(decision(), gateway("a"), is_certain=False)))
     assert change.record.state is state and change.version == 1
 
 
-async def test_requested_change_when_it_may_begin_notes_what_it_replaces() -> None:
+async def test_requested_change_notes_what_it_replaces() -> None:
     change = change_in(ChangeState.REQUESTED)
     await change.step(context_with(fleet(decision(), gateway("a"), gateway("b"))))
     assert change.record.state is ChangeState.PREPARING
@@ -98,14 +98,14 @@
     assert change.record.counts_before == EndCounts(answered=20)
 
 
-async def test_requested_change_when_its_policy_is_in_force_is_not_applied() -> None:
+async def test_requested_change_in_force_already_is_not_applied() -> None:
     change = change_in(ChangeState.REQUESTED)
     await change.step(context_with(fleet(decision(digest=NEW), gateway("a"))))
     assert (change.record.state, change.record.done) == (ChangeState.NOT_APPLIED, True)
 
 
 @pytest.mark.parametrize("state", [ChangeState.REQUESTED, ChangeState.PREPARING])
-async def test_change_when_too_many_gateways_are_absent_is_applied_only_by_force(state: ChangeState) -> None:
+async def test_change_with_many_gateways_absent_needs_force(state: ChangeState) -> None:
     change = change_in(state)
     await change.step(context_with(fleet(decision(), *ONE_OF_TWO_ABSENT)))
     assert (change.record.state, change.record.done) == (ChangeState.NOT_APPLIED, True)
@@ -116,13 +116,14 @@
     assert forced.record.state is expected
 
 
-async def test_preparing_change_when_another_policy_was_decided_is_not_applied() -> None:
+async def test_preparing_change_ends_at_another_decision() -> None:
     change = change_in(ChangeState.PREPARING)
     await change.step(context_with(fleet(decision(BASE + 1, OTHER, "other"), gateway("a"))))
     assert (change.record.state, change.record.done) == (ChangeState.NOT_APPLIED, True)
 
 
-async def test_preparing_change_when_the_old_policy_was_decided_again_in_a_new_term_goes_on() -> None:
+async def test_preparing_change_goes_on_in_a_new_term() -> None:
+    """The old policy was decided again there."""
     change = change_in(ChangeState.PREPARING)
     number = 2 << 32 | 1
     await change.step(context_with(fleet(decision(number), gateway("a"))))
@@ -130,7 +131,7 @@
 
 
 @pytest.mark.parametrize("state", [ChangeState.PREPARING, ChangeState.DECIDING])
-async def test_change_when_it_was_decided_or_repeated_in_a_new_term_counts_as_decided(
+async def test_change_repeated_in_a_new_term_is_decided(
     state: ChangeState,
 ) -> None:
     own = change_in(state)
@@ -141,14 +142,14 @@
     assert repeated.record.state is ChangeState.DECIDED
 
 
-def test_decision_when_it_is_not_above_the_base_is_not_the_changes() -> None:
+def test_decision_not_above_the_base_is_not_the_changes() -> None:
     change = change_in(ChangeState.DECIDING)
     assert not change.is_decided(decision(BASE, NEW))
     assert change.is_decided(decision(BASE + 1, NEW))
     assert not change.is_decided(decision(BASE + 1, NEW, "other"))
 
 
-async def test_deciding_change_when_all_are_ready_writes_the_decision() -> None:
+async def test_deciding_change_writes_the_decision() -> None:
     change = change_in(ChangeState.DECIDING)
     context = context_with(fleet(decision(), gateway("a"), gateway("b", GatewayState.ABSENT)))
     await change.step(context)
@@ -166,9 +167,10 @@
         fleet(decision(2 << 32 | 1), gateway("a")),
     ],
 )
-async def test_deciding_change_when_a_gateway_or_a_term_came_since_prepares_again(
+async def test_deciding_change_prepares_again(
     current: FleetStatus,
 ) -> None:
+    """A gateway, or a term, came since."""
     change = change_in(ChangeState.DECIDING)
     context = context_with(current)
     await change.step(context)
@@ -176,7 +178,7 @@
     assert decode_decision(context.records[DECISION_RECORD].text) == current.decision
 
 
-async def test_deciding_change_when_another_decision_comes_first_writes_none() -> None:
+async def test_deciding_change_writes_none_after_another() -> None:
     change = change_in(ChangeState.DECIDING)
     context = context_with(fleet(decision(), gateway("a")))
     another = encode_decision(decision(BASE + 1, OTHER, "other"))
@@ -194,7 +196,7 @@
     assert change.record.state is ChangeState.DECIDING
 
 
-async def test_decided_change_when_another_policy_was_decided_since_is_undone() -> None:
+async def test_decided_change_is_undone_by_another_decision() -> None:
     change = change_in(ChangeState.DECIDED)
     await change.step(context_with(fleet(decision(BASE + 2, OTHER, "other"), gateway("a"))))
     assert (change.record.state, change.record.done) == (ChangeState.UNDONE, True)
@@ -204,7 +206,7 @@
     ("remaining_ms", "active_digest", "is_done"),
     [(100, NEW, False), (0, NEW, True), (-4_900, OLD, False), (-5_000, OLD, True)],
 )
-async def test_decided_change_when_activated_waits_a_while_for_gateways_that_are_behind(
+async def test_activated_change_waits_for_gateways_behind(
     remaining_ms: int, active_digest: str, is_done: bool
 ) -> None:
     change = change_in(ChangeState.DECIDED)
@@ -215,7 +217,8 @@
     assert (change.record.state is ChangeState.IN_FORCE) is is_done
 
 
-async def test_watched_change_when_too_few_requests_ended_is_in_force_and_says_so() -> None:
+async def test_watched_change_with_few_requests_is_in_force() -> None:
+    """Its message says that there were too few."""
     change = change_in(ChangeState.WATCHED)
     change.record.gate = Gate(for_ms=1000)
     change.record.counts_at_switch = EndCounts()
--- a/tests/control/policy/test_document.py
+++ b/tests/control/policy/test_document.py
@@ -36,7 +36,7 @@
         ({"plans": {"stor": PLAN}}, "plans"),
     ],
 )
-def test_document_when_invalid_is_rejected_with_key_and_reason(change: Any, reason: str) -> None:  # noqa: ANN401
+def test_invalid_document_is_rejected_by_key_and_reason(change: Any, reason: str) -> None:  # noqa: ANN401
     with pytest.raises(InvalidPolicyError, match=reason) as error:
         parse_document(json.dumps({**LOW_BURST, **change}), "p.json")
     assert "\n" not in str(error.value) and str(error.value).startswith("p.json: ")
@@ -54,18 +54,18 @@
         "\ud800",
     ],
 )
-def test_text_when_it_is_no_document_is_rejected(text: str) -> None:
+def test_text_of_no_document_is_rejected(text: str) -> None:
     for source in ("p.json", "p.toml"):
         with pytest.raises(InvalidPolicyError, match=source):
             parse_document(text, source)
 
 
-def test_digest_when_documents_say_the_same_is_the_same() -> None:
+def test_equal_documents_have_one_digest() -> None:
     toml = '[[plans]]\nburst = 20\nname = "stor"\n"units-per-s" = 10\n'
     assert parse_document(toml, "p.toml").digest() == DIGEST_A == document_digest(DOCUMENT_A) != DIGEST_B
 
 
-def test_policy_when_applied_changes_what_it_names_and_keeps_the_rest() -> None:
+def test_applied_policy_changes_only_what_it_names() -> None:
     document = {
         "plans": [{**PLAN, "name": "new"}, PLAN],
         "retired": ["old"],
@@ -93,7 +93,7 @@
         apply_policy({**settings, "categories": []}, policy)
 
 
-def test_successor_when_it_drops_a_plan_without_retiring_it_is_rejected() -> None:
+def test_successor_must_retire_a_plan_it_drops() -> None:
     before = parse_document(DOCUMENT_A, "p.json")
     after = parse_document(DOCUMENT_A.replace("stor", "other"), "p.json")
     with pytest.raises(InvalidPolicyError, match="stor: its customers"):
@@ -104,12 +104,12 @@
     check_successor(after, None, "p.json")
 
 
-def test_successor_when_it_retires_a_plan_that_it_has_is_rejected() -> None:
+def test_successor_must_not_retire_a_plan_it_has() -> None:
     policy = parse_document(json.dumps({**LOW_BURST, "retired": ["stor"]}), "p.json")
     with pytest.raises(InvalidPolicyError, match="retired: stor is a plan here"):
         check_successor(policy, None, "p.json")
 
 
-def test_differences_when_a_plan_changes_name_the_plan_and_the_key() -> None:
+def test_differences_name_the_plan_and_the_key() -> None:
     lines = list(document_differences(json.loads(DOCUMENT_A), json.loads(DOCUMENT_B)))
     assert lines == ["plans.stor.burst: 20.0 -> 40.0"]
--- a/tests/control/policy/test_gateway_policy_leases.py
+++ b/tests/control/policy/test_gateway_policy_leases.py
@@ -23,9 +23,8 @@
 from tests.control.registry.helpers import address_of, call, serving
 
 
-async def test_new_registry_when_gateways_may_serve_by_another_certifies_nothing(
-    tmp_path: Path, clock: FakeClock
-) -> None:
+async def test_new_registry_certifies_nothing_at_first(tmp_path: Path, clock: FakeClock) -> None:
+    """The gateways may serve by another registry."""
     async with registry_on_clock(tmp_path / "1.db", clock) as registry:
         leases = registry.policy_leases
         known = {"number": 7 << 32, "digest": DIGEST_A, "ready": [DIGEST_A], "has": DIGEST_A}
@@ -45,9 +44,8 @@
         assert decision.digest == decision.previous_digest == DIGEST_A
 
 
-async def test_new_registry_when_there_may_be_gateways_it_never_heard_of_waits_for_their_leases_to_expire(
-    tmp_path: Path, clock: FakeClock
-) -> None:
+async def test_new_registry_waits_for_unknown_gateways(tmp_path: Path, clock: FakeClock) -> None:
+    """Their leases have to have expired."""
     async with registry_on_clock(tmp_path / "1.db", clock) as registry:
         leases = registry.policy_leases
         clock.now += ABSENT_AFTER_S - LEASE_S
@@ -58,9 +56,8 @@
         await until(leases.current_decision.is_certain)
 
 
-async def test_activation_time_when_the_registry_restarts_is_learned_from_an_agent_or_begins_anew(
-    tmp_path: Path, clock: FakeClock
-) -> None:
+async def test_restarted_registry_learns_the_activation_time(tmp_path: Path, clock: FakeClock) -> None:
+    """From an agent; otherwise the delay begins anew."""
     path = tmp_path / "1.db"
     async with registry_on_clock(path, clock) as registry:
         await settle(registry, clock)
@@ -94,9 +91,8 @@
         assert (await renew(registry, "a"))[1]["leftMs"] < 0
 
 
-async def test_promoted_replica_when_it_may_miss_a_decision_waits_for_the_gateways_reports(
-    tmp_path: Path, clock: FakeClock
-) -> None:
+async def test_promoted_replica_waits_for_all_reports(tmp_path: Path, clock: FakeClock) -> None:
+    """It may miss a decision."""
     async with registry_on_clock(tmp_path / "1.db", clock) as first:
         await settle(first, clock)
         for gateway in ("a", "b"):
@@ -133,9 +129,8 @@
             assert decision.number > number + 1 and decision.previous_digest == DIGEST_B
 
 
-async def test_new_term_when_all_gateways_go_by_another_document_delays_the_activation(
-    tmp_path: Path, clock: FakeClock
-) -> None:
+async def test_new_term_delays_the_activation(tmp_path: Path, clock: FakeClock) -> None:
+    """All gateways go by another document."""
     async with registry_on_clock(tmp_path / "3.db", clock, term=3) as registry:
         await registry.writes.write_aside([PutRecord(document_record(DIGEST_B), DOCUMENT_B)])
         await renew(registry, "a", number=9 << 32, digest=DIGEST_B)
@@ -164,7 +159,7 @@
 )
 
 
-async def test_requests_about_gateways_when_invalid_change_nothing(tmp_path: Path, clock: FakeClock) -> None:
+async def test_invalid_gateway_requests_change_nothing(tmp_path: Path, clock: FakeClock) -> None:
     async with registry_on_clock(tmp_path / "1.db", clock) as registry:
         address = address_of(registry)
         await settle(registry, clock)
@@ -187,9 +182,7 @@
         assert (await call(address, "DELETE /doors/a"))[0] == 200 and not registry.store.claims_table.gateways
 
 
-async def test_fleet_status_when_gateways_renew_or_fall_silent_shows_each(
-    tmp_path: Path, clock: FakeClock
-) -> None:
+async def test_fleet_status_shows_present_and_silent_gateways(tmp_path: Path, clock: FakeClock) -> None:
     async with registry_on_clock(tmp_path / "1.db", clock) as registry:
         address = address_of(registry)
         assert (await call(address, "GET /doors"))[1] == {
--- a/tests/control/policy/test_history.py
+++ b/tests/control/policy/test_history.py
@@ -15,7 +15,7 @@
     return StoredRecord(history_record(number), encode_decision(decision), version=100 + number)
 
 
-def test_history_when_longer_than_is_kept_loses_the_oldest_and_their_documents() -> None:
+def test_long_history_loses_the_oldest_and_documents() -> None:
     records = [decided(number, f"{number:016x}") for number in range(MAX_HISTORY_RECORDS + 2)]
     old_document = StoredRecord(document_record(f"{0:016x}"), "", version=50)
     named_document = StoredRecord(document_record(f"{9:016x}"), "", version=51)
@@ -25,6 +25,6 @@
     assert expired_records(stored) == [records[0], records[1], old_document]
 
 
-def test_history_when_short_keeps_everything() -> None:
+def test_short_history_keeps_everything() -> None:
     records = [decided(number, "") for number in range(MAX_HISTORY_RECORDS)]
     assert expired_records([*records, StoredRecord(document_record("0" * 16), "", version=1)]) == []
--- a/tests/control/policy/test_lease_host.py
+++ b/tests/control/policy/test_lease_host.py
@@ -100,7 +100,8 @@
     return connection.response
 
 
-def test_renewal_when_the_registry_may_have_been_replaced_is_unavailable(host: FakeHost) -> None:
+def test_renewal_is_unavailable_while_peers_are_asked(host: FakeHost) -> None:
+    """The registry may have been replaced, and decides nothing either."""
     host.commit(RegisterGateway(Gateway("a", "a-1", "a")))
     leases = GatewayPolicyLeases(host)
     host.is_current = False
@@ -113,7 +114,7 @@
     assert renew(host, leases, "a").status == 200 and len(host.writes) == 1
 
 
-def test_renewal_when_the_registry_accepts_no_writes_is_answered_with_its_refusal(host: FakeHost) -> None:
+def test_renewal_at_a_read_only_registry_is_rejected(host: FakeHost) -> None:
     host.commit(RegisterGateway(Gateway("a", "a-1", "a")))
     leases = GatewayPolicyLeases(host)
     host.refusal = ConflictError("fenced")
@@ -124,7 +125,7 @@
     assert not host.writes
 
 
-def test_decision_when_its_write_failed_is_tried_again(host: FakeHost) -> None:
+def test_failed_write_of_a_decision_is_repeated(host: FakeHost) -> None:
     host.commit(RegisterGateway(Gateway("a", "a-1", "a")))
     leases = GatewayPolicyLeases(host)
     renew(host, leases, "a")
@@ -156,9 +157,7 @@
     return replication
 
 
-async def test_copy_when_the_upstream_differs_writes_the_differences_only(
-    host: FakeHost, monkeypatch: pytest.MonkeyPatch
-) -> None:
+async def test_copy_writes_the_differences_only(host: FakeHost, monkeypatch: pytest.MonkeyPatch) -> None:
     host.commit(
         PutRecord("policy.now", "{}"), PutRecord("policy.past", "1"), PutRecord("task.drain-s-1", "{}")
     )
@@ -186,14 +185,14 @@
         NoResponse("refused"),
     ],
 )
-async def test_copy_when_the_upstream_answers_otherwise_writes_nothing(
+async def test_copy_of_no_valid_answer_writes_nothing(
     host: FakeHost, answer: CallResult, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     replication = await copy_once(host, answer, monkeypatch)
     assert not host.writes and replication.last_copied_s < 0
 
 
-async def test_copy_when_it_cannot_be_written_does_not_count(
+async def test_copy_that_cannot_be_written_does_not_count(
     host: FakeHost, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     host.disk_error = StoreError("disk full")
--- a/tests/control/policy/test_policy_cli.py
+++ b/tests/control/policy/test_policy_cli.py
@@ -26,7 +26,7 @@
 ROOT = Path(__file__).parents[3]
 
 
-async def policy_command(*words: str, registry: Registry | None = None) -> tuple[int, str, str]:
+async def policy_command(*arguments: str, registry: Registry | None = None) -> tuple[int, str, str]:
     """Exit status, output and errors."""
     at = ()
     if registry is not None:
@@ -37,7 +37,7 @@
         "-m",
         "orchidhatch.policy",
         *at,
-        *words,
+        *arguments,
         cwd=ROOT,
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.PIPE,
@@ -53,9 +53,7 @@
     return file
 
 
-async def test_check_when_the_document_is_valid_or_not_exits_with_0_or_2(
-    document: Path, tmp_path: Path
-) -> None:
+async def test_check_exit_status_tells_validity(document: Path, tmp_path: Path) -> None:
     assert await policy_command("check", str(document)) == (0, f"{DIGEST_A}\n", "")
     document.write_text("{}")
     status, output, errors = await policy_command("check", str(document))
@@ -63,16 +61,15 @@
     assert (await policy_command("check", str(tmp_path / "none.json")))[0] == 2
 
 
-async def test_command_when_no_registry_is_named_or_answers_exits_with_1(document: Path) -> None:
+async def test_command_without_a_registry_exits_with_1(document: Path) -> None:
     status, _, errors = await policy_command("diff", str(document))
     assert status == 1 and "--at" in errors
     status, _, errors = await policy_command("--at", "127.0.0.1:1", "show")
     assert status == 1 and "127.0.0.1:1" in errors and errors.count("\n") == 1
 
 
-async def test_proposal_when_made_is_shown_and_can_be_dropped_before_the_decision(
-    tmp_path: Path, clock: FakeClock, document: Path
-) -> None:
+async def test_proposal_is_shown_and_can_be_dropped(tmp_path: Path, clock: FakeClock, document: Path) -> None:
+    """Until it is decided."""
     async with registry_on_clock(tmp_path / "1.db", clock) as registry:
         await settle(registry, clock)
         await renew(registry, "a", ready=[DIGEST_A])
@@ -96,25 +93,23 @@
         assert status == 1 and "could still be dropped" in errors
 
 
-async def test_proposal_when_too_many_gateways_are_absent_needs_force(
+async def test_proposal_with_many_gateways_absent_needs_force(
     tmp_path: Path, clock: FakeClock, document: Path
 ) -> None:
     async with registry_on_clock(tmp_path / "1.db", clock) as registry:
         await settle(registry, clock)
         await renew(registry, "a")
         clock.now += ABSENT_AFTER_S + 1
-        words = ("propose", str(document), "--why", "y", "--gate", "60s")
-        status, output, errors = await policy_command(*words, registry=registry)
+        arguments = ("propose", str(document), "--why", "y", "--gate", "60s")
+        status, output, errors = await policy_command(*arguments, registry=registry)
         assert status == 1 and "absent: a" in output and "1 of 1" in errors
         assert CHANGE_TASK_RECORD not in registry.store.claims_table.records
-        assert (await policy_command(*words, "--force", registry=registry))[0] == 0
+        assert (await policy_command(*arguments, "--force", registry=registry))[0] == 0
         change = json.loads(registry.store.claims_table.records[CHANGE_TASK_RECORD].text)
         assert change["force"] is True and change["gate"]["for_ms"] == 60_000
 
 
-async def test_undo_when_a_change_is_in_force_asks_for_the_policy_before(
-    tmp_path: Path, clock: FakeClock, document: Path
-) -> None:
+async def test_undo_asks_for_the_policy_before(tmp_path: Path, clock: FakeClock, document: Path) -> None:
     async with registry_on_clock(tmp_path / "1.db", clock) as registry:
         fleet = Fleet(registry, clock, "a")
         await fleet.start()
@@ -123,8 +118,8 @@
         fleet.report(ready=[DIGEST_A, DIGEST_B])
         for digest, text in ((DIGEST_A, DOCUMENT_A), (DIGEST_B, DOCUMENT_B)):
             document.write_text(text)
-            words = ("propose", str(document), "--why", f"for {digest}")
-            assert (await policy_command(*words, registry=registry))[0] == 0
+            arguments = ("propose", str(document), "--why", f"for {digest}")
+            assert (await policy_command(*arguments, registry=registry))[0] == 0
             await fleet.work("decided")
             if digest == DIGEST_A:
                 status, _, errors = await policy_command("undo", "--why", "y", registry=registry)
@@ -140,7 +135,7 @@
         assert second[1:3] == [DIGEST_B, f"before {DIGEST_A}"] and second[5] == "absent 0"
 
 
-async def test_gateway_when_it_is_absent_can_be_removed(tmp_path: Path, clock: FakeClock) -> None:
+async def test_absent_gateway_can_be_removed(tmp_path: Path, clock: FakeClock) -> None:
     async with registry_on_clock(tmp_path / "1.db", clock) as registry:
         await settle(registry, clock)
         await renew(registry, "a")
--- a/tests/control/policy/test_rollout_checks.py
+++ b/tests/control/policy/test_rollout_checks.py
@@ -9,7 +9,7 @@
 AT_SWITCH = EndCounts(answered=500)
 
 
-def test_gate_when_too_few_requests_ended_or_a_gateway_was_restarted_is_not_judged() -> None:
+def test_gate_needs_enough_requests_without_a_restart() -> None:
     too_few = check_gate(NONE_ENDED, AT_SWITCH, EndCounts(answered=600), GATE)
     restarted = check_gate(NONE_ENDED, AT_SWITCH, EndCounts(answered=100), GATE)
     assert too_few.outcome is restarted.outcome is GateOutcome.TOO_FEW_REQUESTS
@@ -18,13 +18,14 @@
     assert some_restarted.outcome is GateOutcome.TOO_FEW_REQUESTS
 
 
-def test_gate_when_no_more_fail_than_before_passes() -> None:
+def test_gate_passes_if_no_more_requests_fail() -> None:
     at_switch = EndCounts(answered=500, errored=5)
     now = EndCounts(answered=1000, errored=10)
     assert check_gate(NONE_ENDED, at_switch, now, GATE).outcome is GateOutcome.PASSED
 
 
-def test_gate_when_more_are_deferred_than_before_fails_with_the_shares() -> None:
+def test_gate_fails_if_more_are_deferred() -> None:
+    """The reason has both shares."""
     verdict = check_gate(NONE_ENDED, AT_SWITCH, EndCounts(answered=600, deferred=400), GATE)
     assert verdict.outcome is GateOutcome.FAILED
     assert verdict.reason == "0.800 of the requests deferred, 0.000 before"
@@ -42,17 +43,17 @@
     ]
 
 
-def test_absence_when_few_gateways_are_absent_is_no_error() -> None:
+def test_few_absent_gateways_are_no_error() -> None:
     assert absence_error([]) is None
     assert absence_error(fleet(8, set())) is None
     assert absence_error(fleet(9, {0})) is None
 
 
-def test_absence_when_too_many_of_all_gateways_are_absent_is_an_error() -> None:
+def test_many_absent_gateways_are_an_error() -> None:
     absent = {number for number in range(30) if number % 10 < 3}
     assert absence_error(fleet(30, absent)) == "9 of 30 gateways would be out of service"
 
 
-def test_absence_when_too_many_of_one_zone_are_absent_is_an_error() -> None:
+def test_many_absent_gateways_of_a_zone_are_an_error() -> None:
     absent = {number for number in range(27) if number % 9 in (0, 3)}
     assert absence_error(fleet(27, absent)) == "6 of 9 gateways of zone a would be out of service"
--- a/tests/control/registry/helpers.py
+++ b/tests/control/registry/helpers.py
@@ -67,7 +67,7 @@
         data = await self.reader.readexactly(size + 2)
         return data[:-2]
 
-    async def news(self) -> dict[str, Any]:
+    async def next_event(self) -> dict[str, Any]:
         """The next line that is not empty."""
         while not (line := await self.chunk()).strip():
             pass
@@ -75,8 +75,8 @@
         return json.loads(line)
 
 
-def named(news: dict[str, Any]) -> dict[str, str]:
-    return {entry["instanceId"]: entry["lifecycle"] for entry in news["instances"]}
+def lifecycles_by_id(event: dict[str, Any]) -> dict[str, str]:
+    return {entry["instanceId"]: entry["lifecycle"] for entry in event["instances"]}
 
 
 async def start(path: Path, listen: tuple[str, int], *more: str) -> asyncio.subprocess.Process:
--- a/tests/control/registry/test_command.py
+++ b/tests/control/registry/test_command.py
@@ -11,12 +11,12 @@
 import pytest
 
 from orchidhatch.proxy.server import GatewayServer
-from tests.control.registry.helpers import ROOT, call, named, start
+from tests.control.registry.helpers import ROOT, call, lifecycles_by_id, start
 from tests.control.test_schemas import body
 from tests.sockets import CONFIG, HOST, Backend, Client, query, refusing_address
 
 
-async def test_registry_when_killed_then_has_all_acknowledged_writes(path: Path) -> None:
+async def test_killed_registry_has_all_acknowledged_writes(path: Path) -> None:
     listen, made = refusing_address(), {}
     process = await start(path, listen, "--create")
     for round_ in range(4):
@@ -36,7 +36,7 @@
         await asyncio.gather(*calls)
         process = await start(path, listen)
         whole = (await call(listen, "GET /catalog/members"))[1]
-        assert made.keys() <= named(whole).keys()
+        assert made.keys() <= lifecycles_by_id(whole).keys()
         assert all(version <= whole["generation"] for version in made.values())
         known = {entry["instanceId"]: entry for entry in whole["instances"]}
         assert all(json.loads(body(instanceId=name)) == known[name] for name in made)
@@ -45,14 +45,14 @@
 
 
 @pytest.mark.parametrize(
-    ("more", "told"),
+    ("more", "reason"),
     [
         ((), b"there is no store"),
         (("--listen", "x"), b"not host:port"),
     ],
 )
-async def test_command_when_it_cannot_start_then_tells_why_in_one_line(
-    path: Path, more: tuple[str, ...], told: bytes
+async def test_failed_start_gives_its_reason_in_one_line(
+    path: Path, more: tuple[str, ...], reason: bytes
 ) -> None:
     process = await asyncio.create_subprocess_exec(
         sys.executable,
@@ -67,24 +67,24 @@
         stderr=asyncio.subprocess.PIPE,
     )
     _, errors = await process.communicate()
-    assert process.returncode in (1, 2) and told in errors and b"Traceback" not in errors
+    assert process.returncode in (1, 2) and reason in errors and b"Traceback" not in errors
     assert not path.exists()
 
 
-async def test_gateway_when_the_registry_is_killed_then_goes_on_serving(path: Path) -> None:
+async def test_gateway_serves_on_without_its_registry(path: Path) -> None:
     listen, backends = refusing_address(), [Backend(), Backend()]
     process = await start(path, listen, "--create")
     for number, backend in enumerate(backends):
         at = await backend.start()
         given = body(instanceId=f"s-{number}", hostPort=f"{at[0]}:{at[1]}")
         assert (await call(listen, "POST /entries", given))[0] == 200
-    door = GatewayServer(replace(CONFIG, discovery=listen))
-    await door.start()
-    client = await Client.open(door.server.sockets[0].getsockname())
+    gateway = GatewayServer(replace(CONFIG, discovery=listen))
+    await gateway.start()
+    client = await Client.open(gateway.server.sockets[0].getsockname())
     assert await client.ask(query("a0")) == b"ok"
     drain = await call(listen, "POST /entries/s-0/lifecycle", b'{"lifecycle":"DRAINING"}')
     assert drain[0] == 200
-    while door.catalog.version < drain[1]["version"]:
+    while gateway.catalog.version < drain[1]["version"]:
         await asyncio.sleep(0.001)
     before = len(backends[0].commands)
     for number in range(20):
@@ -95,9 +95,9 @@
     assert await client.ask(query("c0")) == b"ok"
     process = await start(path, listen)
     assert (await call(listen, "DELETE /entries/s-0"))[0] == 200
-    while len(door.catalog.entries) > 1:
+    while len(gateway.catalog.entries) > 1:
         await asyncio.sleep(0.01)
     assert await client.ask(query("d0")) == b"ok"
-    door.close()
+    gateway.close()
     process.send_signal(signal.SIGTERM)
     assert await process.wait() == 0
--- a/tests/control/registry/test_peer_terms.py
+++ b/tests/control/registry/test_peer_terms.py
@@ -9,14 +9,15 @@
 from orchidhatch.control.registry import peer_terms
 from orchidhatch.control.registry.peer_terms import PeerTermGuard
 from orchidhatch.control.registry.store import Store
-from tests.control.registry.helpers import address_of, call, named, serving
+from tests.control.registry.helpers import address_of, call, lifecycles_by_id, serving
 from tests.control.test_schemas import body
 from tests.sockets import refusing_address
 
 
-async def test_registry_when_a_peer_has_a_later_term_then_rejects_writes_and_serves_reads(
+async def test_later_term_of_a_peer_fences_the_registry(
     path: Path, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """It rejects writes and goes on serving reads."""
     monkeypatch.setattr(peer_terms, "CHECK_INTERVAL_S", 0.005)
     silent = refusing_address()
     async with serving(tmp_path / "new.db", term=1) as new:
@@ -26,16 +27,16 @@
             new.store.term = 2  # promoted meanwhile
             while not old.peer_terms.fenced:
                 await asyncio.sleep(0.001)
-            status, told = await call(at, "POST /entries", body(instanceId="s-2"))
-            assert status == 409 and "is of term 2, this is of 1" in told["error"]
+            status, response = await call(at, "POST /entries", body(instanceId="s-2"))
+            assert status == 409 and "is of term 2, this is of 1" in response["error"]
             assert (await call(at, "GET /healthcheck"))[0] == 503
-            assert named((await call(at, "GET /catalog/members"))[1]) == {"s-1": "SERVING"}
+            assert lifecycles_by_id((await call(at, "GET /catalog/members"))[1]) == {"s-1": "SERVING"}
         async with serving(path, peers=(address_of(new),)) as back:  # fenced before its first write
             assert (await call(address_of(back), "DELETE /entries/s-1"))[0] == 409
             assert back.store.generation == 1
 
 
-async def test_check_when_too_old_then_is_repeated_before_a_write_is_acknowledged(path: Path) -> None:
+async def test_stale_check_is_repeated_before_acknowledging(path: Path) -> None:
     now_s = 1000.0
     store = Store(path, create=True)
     guard = PeerTermGuard(store, [refusing_address()], lambda: now_s, lambda: False)
@@ -52,7 +53,7 @@
     store.close()
 
 
-async def test_guard_when_without_peers_then_needs_no_check(path: Path) -> None:
+async def test_guard_without_peers_needs_no_check(path: Path) -> None:
     store = Store(path, create=True)
     guard = PeerTermGuard(store, [], lambda: 1000.0, lambda: False)
     assert guard.is_current() and await guard.ensure_current() and not guard.has_peers
@@ -67,7 +68,7 @@
         ("POST /leases/end", b'{"claim":"x","epoch":1}'),
     ],
 )
-async def test_renewal_when_the_last_check_is_too_old_then_is_unavailable(
+async def test_renewal_is_unavailable_after_a_stale_check(
     path: Path, request_line: str, content: bytes
 ) -> None:
     async with serving(path) as registry:
--- a/tests/control/registry/test_rebuild.py
+++ b/tests/control/registry/test_rebuild.py
@@ -8,27 +8,27 @@
 from orchidhatch.control.registry.endpoints import RegisterEndpoint
 from orchidhatch.control.registry.store import Store
 from tests.control.agent.helpers import register_endpoint, running_agent, until
-from tests.control.registry.helpers import Watcher, address_of, named, serving
+from tests.control.registry.helpers import Watcher, address_of, lifecycles_by_id, serving
 from tests.control.registry.test_store import entry, one
 from tests.sockets import refusing_address
 
 ROOT = Path(__file__).parents[3]
 
 
-async def run_rebuild(path: Path, *words: str) -> tuple[int, str, str]:
+async def run_rebuild(path: Path, *arguments: str) -> tuple[int, str, str]:
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "orchidhatch.rebuild",
         "--store",
         str(path),
-        *words,
+        *arguments,
         cwd=ROOT,
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.PIPE,
     )
-    out, errors = await process.communicate()
-    return process.returncode, out.decode(), errors.decode()
+    output, errors = await process.communicate()
+    return process.returncode, output.decode(), errors.decode()
 
 
 def damage(path: Path) -> bytes:
@@ -37,7 +37,7 @@
     return data
 
 
-async def test_rebuild_when_the_store_is_damaged_then_uses_the_agents_list_in_a_higher_term(
+async def test_rebuild_uses_the_agents_list_in_a_higher_term(
     tmp_path: Path,
 ) -> None:
     path = tmp_path / "list.db"
@@ -48,12 +48,12 @@
         async with running_agent(tmp_path / "a.db", at) as agent:
             await until(lambda: len(agent.store.entries) == 2)
             watcher = await Watcher.open(address_of(agent))
-            before = await watcher.news()
+            before = await watcher.next_event()
             await registry.close()
             broken = damage(path)
             source = "{}:{}".format(*address_of(agent))
-            status, out, _ = await run_rebuild(path, "--from", source)
-            assert status == 0 and "damaged" in out and "2 entries" in out
+            status, output, _ = await run_rebuild(path, "--from", source)
+            assert status == 0 and "damaged" in output and "2 entries" in output
             assert (tmp_path / "list.db.damaged").read_bytes() == broken
             again = Store(path)
             assert again.term == 4  # above the one that the agent had heard of
@@ -63,7 +63,7 @@
             assert (await run_rebuild(path, "--from", source))[2].endswith("is sound; it is not replaced\n")
 
 
-async def test_rebuild_when_from_a_backup_then_agents_prefer_the_new_store_over_the_old(
+async def test_agents_prefer_a_store_rebuilt_from_a_backup(
     tmp_path: Path,
 ) -> None:
     path, copy, new = tmp_path / "list.db", tmp_path / "copy.db", tmp_path / "new.db"
@@ -78,32 +78,32 @@
         async with running_agent(tmp_path / "a.db", address_of(fresh), address_of(old)) as agent:
             await until(lambda: agent.replicator.connected)
             watcher = await Watcher.open(address_of(agent))
-            assert named(await watcher.news()) == {"s-1": "SERVING"}
+            assert lifecycles_by_id(await watcher.next_event()) == {"s-1": "SERVING"}
             await register_endpoint(old, "s-old")
             await fresh.close()
             await until(lambda: agent.replicator.stale_lists)
             assert list(agent.store.entries) == ["s-1"]
 
 
-async def test_rebuild_when_the_source_fails_then_changes_nothing(tmp_path: Path) -> None:
+async def test_rebuild_without_a_source_changes_nothing(tmp_path: Path) -> None:
     path = tmp_path / "list.db"
     store = Store(path, create=True)
     one(store, RegisterEndpoint(entry(1)))
     store.close()
     broken = damage(path)
     gone = "{}:{}".format(*refusing_address())
-    for words in (
+    for arguments in (
         ("--from", gone),
         ("--backup", str(tmp_path / "none.db")),
         ("--backup", str(path)),
         ("--from", "nowhere"),
     ):
-        status, out, errors = await run_rebuild(path, *words)
-        assert (status, out) == (1, "") and errors.count("\n") == 1
+        status, output, errors = await run_rebuild(path, *arguments)
+        assert (status, output) == (1, "") and errors.count("\n") == 1
     assert path.read_bytes() == broken and not (tmp_path / "list.db.damaged").exists()
 
 
-async def test_rebuild_when_the_store_is_in_use_then_does_not_replace_it(tmp_path: Path) -> None:
+async def test_rebuild_does_not_replace_a_store_in_use(tmp_path: Path) -> None:
     path = tmp_path / "list.db"
     async with serving(path) as registry:
         await register_endpoint(registry, "s-1")
--- a/tests/control/registry/test_replication.py
+++ b/tests/control/registry/test_replication.py
@@ -5,7 +5,7 @@
 import shutil
 import signal
 import time
-from collections.abc import AsyncIterator
+from collections.abc import AsyncIterator, Sequence
 from dataclasses import replace
 from pathlib import Path
 
@@ -18,7 +18,7 @@
 from orchidhatch.control.registry.store import Store
 from orchidhatch.proxy.server import GatewayServer
 from tests.control.agent.helpers import register_endpoint, running_agent, start_agent_process, until
-from tests.control.registry.helpers import Watcher, address_of, call, named, serving, start
+from tests.control.registry.helpers import Watcher, address_of, call, lifecycles_by_id, serving, start
 from tests.control.registry.test_store import entry, one
 from tests.control.test_cli import client
 from tests.control.test_schemas import body
@@ -40,9 +40,10 @@
         yield replica
 
 
-async def test_replica_when_promoted_then_keeps_incarnations_and_leases_and_fences_the_old_one(
+async def test_promoted_replica_keeps_leases_and_fences(
     tmp_path: Path,
 ) -> None:
+    """Incarnations and leases go on, and the registry before is fenced."""
     async with serving(tmp_path / "1.db") as first:
         await register_endpoint(first, "s-1", leaseMs=60_000)
         await register_endpoint(first, "s-2")
@@ -51,25 +52,25 @@
             at = address_of(second)
             await until(lambda: list(second.store.entries) == ["s-1"])
             watcher = await Watcher.open(at)
-            before = await watcher.news()
+            before = await watcher.next_event()
             for write in ("POST /entries", "POST /entries/s-1/renew", "DELETE /entries/s-1"):
                 given = body() if write == "POST /entries" else b'{"life":1}'
-                status, told = await call(at, write, given)
-                assert status == 409 and "takes no writes" in told["error"]
+                status, response = await call(at, write, given)
+                assert status == 409 and "takes no writes" in response["error"]
             assert (await call(at, "GET /healthcheck"))[1]["health"] == "follows"
-            status, told = await call(at, "POST /promote")
-            assert status == 409 and "still answers" in told["error"]
+            status, response = await call(at, "POST /promote")
+            assert status == 409 and "still answers" in response["error"]
             await first.close()
             await until(lambda: not second.replicator.connected)
             async with running_agent(tmp_path / "a.db", at) as agent:
                 await until(lambda: agent.replicator.connected)
-                status, out, _ = await client(at, "promote")
-                assert status == 0 and out.startswith("term 2, generation ") and "1 entries" in out
+                status, output, _ = await client(at, "promote")
+                assert status == 0 and output.startswith("term 2, generation ") and "1 entries" in output
                 assert (await call(at, "POST /entries/s-1/renew", b'{"life":1}'))[0] == 200
                 assert second.lease_expiry.leases.leases.keys() == {"s-1"}
                 with pytest.raises((asyncio.IncompleteReadError, ValueError)):
-                    await watcher.news()  # it was told another term
-                again = await (await Watcher.open(at, before["generation"])).news()
+                    await watcher.next_event()  # it was sent another term
+                again = await (await Watcher.open(at, before["generation"])).next_event()
                 assert again["reset"] and again["generation"] > before["generation"]
                 assert (await call(at, "POST /promote"))[0] == 409
                 await until(lambda: agent.replicator.position.store_name.endswith(" 2"))
@@ -81,7 +82,7 @@
                     assert list(agent.store.entries) == ["s-1"]
 
 
-async def test_replica_when_promotion_is_forced_then_tells_its_lag_and_is_promoted(tmp_path: Path) -> None:
+async def test_forced_promotion_reports_the_lag(tmp_path: Path) -> None:
     async with (
         serving(tmp_path / "1.db") as first,
         running_replica(tmp_path / "2.db", address_of(first)) as second,
@@ -101,7 +102,7 @@
         assert first.store.entries["s-1"].lifecycle == "SERVING"  # it is not followed any more
 
 
-async def test_promotion_when_a_peer_was_told_the_term_just_before_then_is_refused(
+async def test_promotion_is_rejected_after_a_term_query(
     tmp_path: Path,
 ) -> None:
     """A first one that wakes up at the moment of the promotion has asked just before it."""
@@ -112,21 +113,21 @@
         await first.close()
         await until(lambda: not second.replicator.connected)
         assert (await call(address_of(second), "GET /term"))[1] == {"term": 1}
-        status, told = await call(address_of(second), "POST /promote")
-        assert status == 409 and "a peer asked" in told["error"]
+        status, response = await call(address_of(second), "POST /promote")
+        assert status == 409 and "a peer asked" in response["error"]
         second.clock = lambda: time.monotonic() + peer_terms.PROMOTION_DELAY_S
         assert (await call(address_of(second), "POST /promote"))[0] == 200
 
 
-async def test_promotion_when_no_list_was_ever_received_then_is_refused(tmp_path: Path) -> None:
+async def test_promotion_without_a_list_is_rejected(tmp_path: Path) -> None:
     async with serving(tmp_path / "2.db", follow=(refusing_address(),)) as second:
-        status, told = await call(address_of(second), "POST /promote", b'{"force":true}')
-        assert status == 409 and "never received" in told["error"]
+        status, response = await call(address_of(second), "POST /promote", b'{"force":true}')
+        assert status == 409 and "never received" in response["error"]
         assert (await call(address_of(second), "GET /healthcheck"))[0] == 503
         assert (await call(address_of(second), "POST /promote", b'{"force":1}'))[0] == 400
 
 
-async def test_promoted_registry_when_restarted_with_the_same_options_then_stays_promoted(
+async def test_promoted_registry_stays_promoted_over_a_restart(
     tmp_path: Path,
 ) -> None:
     """As a supervisor does; it would else refuse all writes, and follow the one that it replaced."""
@@ -138,7 +139,8 @@
             assert again.store.term == 2
 
 
-def test_store_when_a_term_begins_then_it_is_durable_and_no_watch_resumes_over_it(tmp_path: Path) -> None:
+def test_new_term_is_durable_and_ends_the_history(tmp_path: Path) -> None:
+    """No watch resumes over it."""
     path = tmp_path / "list.db"
     store = Store(path, create=True)
     made = one(store, RegisterEndpoint(entry(1)))
@@ -153,54 +155,78 @@
     again.close()
 
 
-async def test_replica_when_promoted_amid_traffic_then_no_request_is_lost(tmp_path: Path) -> None:
-    """Two registries, an agent and a gateway; the first is killed, the second promoted by command."""
-    at1, at2, at = refusing_address(), refusing_address(), refusing_address()
-    follow = ("--create", "--follow", f"{HOST}:{at1[1]}", "--peer", f"{HOST}:{at1[1]}")
-    one = await start(tmp_path / "1.db", at1, "--create")
-    two = await start(tmp_path / "2.db", at2, *follow)
-    backends = [Backend(), Backend()]
+async def register_backends(registry: tuple[str, int], backends: Sequence[Backend]) -> None:
     for number, backend in enumerate(backends):
         address = await backend.start()
         given = body(instanceId=f"s-{number}", hostPort=f"{address[0]}:{address[1]}", leaseMs=60_000)
-        assert (await call(at1, "POST /entries", given))[0] == 200
-    agent = await start_agent_process(tmp_path / "a.db", at, at1, at2)
-    door = GatewayServer(replace(CONFIG, discovery=at))
-    await door.start()
-    asking, answers = await Client.open(door.server.sockets[0].getsockname()), []
+        assert (await call(registry, "POST /entries", given))[0] == 200
+
+
+class Traffic:
+    """A client that sends one request after another, within the quota."""
+
+    def __init__(self, requester: Client) -> None:
+        self.answers: list[bytes] = []
+        self._requester = requester
 
-    async def traffic() -> None:
+    async def run(self) -> None:
         while True:
-            answers.append(await asking.ask(query(f"r{len(answers)}")))
-            await asyncio.sleep(0.005)  # within the quota
+            self.answers.append(await self._requester.ask(query(f"r{len(self.answers)}")))
+            await asyncio.sleep(0.005)
+
+
+async def terminate(*processes: asyncio.subprocess.Process) -> None:
+    """End processes by a signal; each says that it has ended well."""
+    for process in processes:
+        process.send_signal(signal.SIGTERM)
+        assert await process.wait() == 0
+
 
-    await until(lambda: len(door.catalog.entries) == 2)
-    busy = asyncio.create_task(traffic())
-    while len((await call(at2, "GET /catalog/members"))[1]["instances"]) < 2:
+async def replace_registry(
+    first: asyncio.subprocess.Process, replica: tuple[str, int], gateway: GatewayServer
+) -> None:
+    """Kill a registry amid its work, and have the replica go on; the gateway hears of what comes after."""
+    while len((await call(replica, "GET /catalog/members"))[1]["instances"]) < 2:
         await asyncio.sleep(0.01)
-    version = door.catalog.version
-    one.send_signal(signal.SIGKILL)
-    await one.wait()
-    while (await call(at2, "GET /healthcheck"))[1]["connected"]:
+    version = gateway.catalog.version
+    first.send_signal(signal.SIGKILL)
+    await first.wait()
+    while (await call(replica, "GET /healthcheck"))[1]["connected"]:
         await asyncio.sleep(0.01)
-    assert (await client(at2, "promote"))[0] == 0
-    assert (await client(at2, "drain", "s-0"))[0] == 0
-    await until(lambda: door.catalog.entries["s-0"]["lifecycle"] == "DRAINING")
-    assert door.catalog.version > version and len(door.catalog.entries) == 2
-    before = len(backends[0].commands), len(answers)
-    await until(lambda: len(answers) > before[1] + 20)
-    assert len(backends[0].commands) == before[0]
-    one = await start(tmp_path / "1.db", at1, "--peer", f"{HOST}:{at2[1]}")
+    assert (await client(replica, "promote"))[0] == 0
+    assert (await client(replica, "drain", "s-0"))[0] == 0
+    await until(lambda: gateway.catalog.entries["s-0"]["lifecycle"] == "DRAINING")
+    assert gateway.catalog.version > version and len(gateway.catalog.entries) == 2
+
+
+async def test_promotion_amid_traffic_loses_no_request(tmp_path: Path) -> None:
+    """Two registries, an agent and a gateway; the first is killed, the second promoted by command."""
+    at1, at2, agent_address = refusing_address(), refusing_address(), refusing_address()
+    follow = ("--create", "--follow", f"{HOST}:{at1[1]}", "--peer", f"{HOST}:{at1[1]}")
+    first = await start(tmp_path / "1.db", at1, "--create")
+    second = await start(tmp_path / "2.db", at2, *follow)
+    backends = [Backend(), Backend()]
+    await register_backends(at1, backends)
+    agent = await start_agent_process(tmp_path / "a.db", agent_address, at1, at2)
+    gateway = GatewayServer(replace(CONFIG, discovery=agent_address))
+    await gateway.start()
+    traffic = Traffic(await Client.open(gateway.server.sockets[0].getsockname()))
+    await until(lambda: len(gateway.catalog.entries) == 2)
+    sending = asyncio.create_task(traffic.run())
+    await replace_registry(first, at2, gateway)
+    commands_before = len(backends[0].commands)
+    answers_before = len(traffic.answers)
+    await until(lambda: len(traffic.answers) > answers_before + 20)
+    assert len(backends[0].commands) == commands_before
+    first = await start(tmp_path / "1.db", at1, "--peer", f"{HOST}:{at2[1]}")
     assert (await call(at1, "DELETE /entries/s-1"))[0] == 409
-    busy.cancel()
-    assert set(answers) == {b"ok"}  # each was answered, once, through all of it
-    door.close()
-    for process in (one, two, agent):
-        process.send_signal(signal.SIGTERM)
-        assert await process.wait() == 0
+    sending.cancel()
+    assert set(traffic.answers) == {b"ok"}  # each was answered, once, through all of it
+    gateway.close()
+    await terminate(first, second, agent)
 
 
-async def test_stopped_registry_when_another_was_promoted_then_acknowledges_nothing(tmp_path: Path) -> None:
+async def test_replaced_registry_acknowledges_nothing(tmp_path: Path) -> None:
     """Real processes: the writes that waited on its socket while it stood still are lost if acknowledged."""
     at1, at2 = refusing_address(), refusing_address()
     one = await start(tmp_path / "1.db", at1, "--create", "--peer", f"{HOST}:{at2[1]}")
@@ -220,12 +246,10 @@
     assert {status for status, _ in await asyncio.gather(*writes)} == {409}
     assert (await renewal)[0] in (409, 503)
     assert (await call(at2, "POST /entries", body(instanceId="s-1")))[0] == 200
-    for process in (one, two):
-        process.send_signal(signal.SIGTERM)
-        assert await process.wait() == 0
+    await terminate(one, two)
 
 
-async def test_store_when_its_log_is_cut_at_any_length_then_holds_a_first_part_of_the_writes(
+async def test_cut_log_holds_the_first_writes(
     tmp_path: Path,
 ) -> None:
     """The real process started on what was on disk: the log of its store cut at lengths over all of it."""
@@ -239,17 +263,17 @@
     process.send_signal(signal.SIGKILL)
     await process.wait()
     counts = []
-    for part in range(9):
+    for eighth in range(9):
         for name in (copy, Path(f"{copy}-wal"), Path(f"{copy}-shm")):
             name.unlink(missing_ok=True)
         shutil.copy(path, copy)
-        Path(f"{copy}-wal").write_bytes(log[: len(log) * part // 8])
+        Path(f"{copy}-wal").write_bytes(log[: len(log) * eighth // 8])
         try:
             process = await start(copy, listen)
         except AssertionError:  # cut before the store itself was made: refused, not served
             counts.append(0)
             continue
-        names = sorted(named((await call(listen, "GET /catalog/members"))[1]))
+        names = sorted(lifecycles_by_id((await call(listen, "GET /catalog/members"))[1]))
         assert names == [f"s-{number:02}" for number in range(len(names))]
         counts.append(len(names))
         process.send_signal(signal.SIGKILL)
--- a/tests/control/registry/test_store.py
+++ b/tests/control/registry/test_store.py
@@ -42,7 +42,7 @@
     return store.identity, store.term, store.generation, dict(store.entries), dict(store.history)
 
 
-def test_store_when_reopened_then_has_what_was_written(path: Path) -> None:
+def test_reopened_store_has_what_was_written(path: Path) -> None:
     store = Store(path, create=True)
     assert store.generation == 0
     for number in range(5):
@@ -56,7 +56,7 @@
     assert again.entries["s-1"].lifecycle == "DRAINING" and "s-2" not in again.entries
 
 
-def test_batch_when_applied_then_each_write_has_its_outcome(path: Path) -> None:
+def test_each_write_of_a_batch_has_its_outcome(path: Path) -> None:
     store = Store(path, create=True)
     outcomes = store.apply(
         [
@@ -73,7 +73,7 @@
     assert list(store.entries) == ["s-1"] and store.entries["s-1"].incarnation == 4
 
 
-def test_write_when_its_version_is_outdated_then_is_rejected(path: Path) -> None:
+def test_write_of_an_outdated_version_is_rejected(path: Path) -> None:
     store = Store(path, create=True)
     seen = one(store, RegisterEndpoint(entry(1), if_version=0)).version
     one(store, ChangeLifecycle("s-1", "DRAINING", if_version=seen))
@@ -84,7 +84,7 @@
     assert store.entries["s-1"].lifecycle == "DRAINING" and store.generation == 2
 
 
-def test_write_when_of_an_earlier_incarnation_then_is_rejected(path: Path) -> None:
+def test_write_of_an_earlier_incarnation_is_rejected(path: Path) -> None:
     store = Store(path, create=True)
     old = one(store, RegisterEndpoint(entry(1, started_ms=100)))
     new = one(store, RegisterEndpoint(entry(1, started_ms=200, address="127.0.0.1:9")))
@@ -106,7 +106,7 @@
         RemoveEndpoint("s-1"),
     ],
 )
-def test_write_when_it_does_not_fit_then_changes_nothing(path: Path, write: Write) -> None:
+def test_rejected_write_changes_nothing(path: Path, write: Write) -> None:
     store = Store(path, create=True)
     before = what_is_in(store)
     with pytest.raises(ConflictError):
@@ -114,7 +114,7 @@
     assert what_is_in(store) == before
 
 
-def test_list_when_full_then_registers_no_more(path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_full_list_registers_no_more(path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(endpoints, "MAX_ENDPOINTS", 2)
     store = Store(path, create=True)
     for number in (1, 2):
@@ -124,7 +124,7 @@
     one(store, RegisterEndpoint(entry(2)))
 
 
-def test_changes_when_older_than_the_history_then_are_not_known(path: Path) -> None:
+def test_changes_before_the_history_are_not_known(path: Path) -> None:
     store = Store(path, create=True, max_history=4)
     for number in (1, 2, 3):
         one(store, RegisterEndpoint(entry(number)))
@@ -142,7 +142,7 @@
         ]
 
 
-def test_store_when_open_elsewhere_then_is_not_opened(path: Path) -> None:
+def test_store_in_use_is_not_opened(path: Path) -> None:
     store = Store(path, create=True)
     with pytest.raises(StoreError, match="locked"):
         Store(path)
@@ -151,7 +151,7 @@
     assert Store(path).generation == 1
 
 
-def test_store_when_its_file_is_gone_then_is_made_only_if_asked(path: Path) -> None:
+def test_missing_store_is_made_only_on_request(path: Path) -> None:
     with pytest.raises(StoreError, match="there is no store"):
         Store(path)
     assert not path.exists()
@@ -167,7 +167,7 @@
 # --- faults ---
 
 
-def test_commit_when_the_disk_is_full_then_fails_and_reads_go_on(path: Path) -> None:
+def test_commit_to_a_full_disk_fails_and_reads_go_on(path: Path) -> None:
     store = Store(path, create=True)
     one(store, RegisterEndpoint(entry(1)))
     before = what_is_in(store)
@@ -180,7 +180,7 @@
     assert one(store, RegisterEndpoint(entry(2))).version == 2
 
 
-def test_commit_when_the_file_is_read_only_then_fails(path: Path) -> None:
+def test_commit_to_a_read_only_file_fails(path: Path) -> None:
     store = Store(path, create=True)
     one(store, RegisterEndpoint(entry(1)))
     store.db.execute("PRAGMA query_only = 1")
@@ -212,7 +212,8 @@
     return entries
 
 
-def test_store_when_its_process_is_killed_then_has_all_acknowledged_batches_whole(path: Path) -> None:
+def test_killed_process_leaves_whole_batches(path: Path) -> None:
+    """All that were acknowledged."""
     chance = random.Random(4)
     last = 0
     for _ in range(12):
@@ -252,9 +253,7 @@
     return store, states
 
 
-def test_store_when_its_log_is_cut_at_any_length_then_has_an_earlier_state_whole(
-    path: Path, tmp_path: Path
-) -> None:
+def test_cut_log_gives_a_whole_earlier_state(path: Path, tmp_path: Path) -> None:
     store, states = written(path)
     log = Path(f"{path}-wal").read_bytes()
     lengths = {*range(0, len(log), 509), *range(len(log) - 60, len(log) + 1)}
@@ -270,7 +269,7 @@
 
 
 @given(st.data())
-def test_store_when_a_bit_is_flipped_then_is_refused_or_unchanged(
+def test_flipped_bit_is_found_or_harmless(
     tmp_path_factory: pytest.TempPathFactory, data: st.DataObject
 ) -> None:
     folder = tmp_path_factory.mktemp("flip")
@@ -290,7 +289,7 @@
         found.close()
 
 
-def test_store_when_a_value_was_changed_then_is_refused_in_one_line(path: Path) -> None:
+def test_changed_value_is_rejected_in_one_line(path: Path) -> None:
     store, _ = written(path)
     store.close()
     main = path.read_bytes()
@@ -316,9 +315,7 @@
         ("form", "PRAGMA user_version = 9"),
     ],
 )
-def test_store_when_in_a_state_that_no_write_leaves_then_is_refused(
-    path: Path, table: str, change: str
-) -> None:
+def test_impossible_state_is_rejected(path: Path, table: str, change: str) -> None:
     store, _ = written(path)
     store.close()
     with sqlite3.connect(path) as db:
@@ -328,13 +325,13 @@
         Store(path)
 
 
-def test_store_when_its_file_is_no_database_then_is_refused(path: Path) -> None:
+def test_file_of_no_database_is_rejected(path: Path) -> None:
     path.write_bytes(b"nothing of the kind" * 300)
     with pytest.raises(CorruptStoreError, match="not a database"):
         Store(path)
 
 
-def test_changes_when_of_an_earlier_store_then_are_not_known(path: Path) -> None:
+def test_changes_of_an_earlier_store_are_not_known(path: Path) -> None:
     store = Store(path, create=True, first=1_000)
     assert store.generation == 1_000 and store.changes(999) is None and store.changes(1_000) == []
     assert one(store, RegisterEndpoint(entry(1))).version == 1_001
--- a/tests/control/registry/test_write_pipeline.py
+++ b/tests/control/registry/test_write_pipeline.py
@@ -2,6 +2,7 @@
 
 import asyncio
 from pathlib import Path
+from types import SimpleNamespace
 
 import pytest
 
@@ -10,12 +11,13 @@
 from orchidhatch.control.registry import write_pipeline
 from orchidhatch.control.registry.peer_terms import Fenced
 from orchidhatch.control.schemas import read_register_endpoint
-from tests.control.registry.helpers import address_of, call, named, raw, serving
+from tests.control.agent.helpers import register_endpoint
+from tests.control.registry.helpers import address_of, call, lifecycles_by_id, raw, serving
 from tests.control.test_schemas import body
 from tests.sockets import HOST
 
 
-async def test_writes_when_concurrent_then_are_committed_in_groups(path: Path) -> None:
+async def test_concurrent_writes_are_committed_in_groups(path: Path) -> None:
     async with serving(path) as registry:
         at = address_of(registry)
         calls = [call(at, "POST /entries", body(instanceId=f"s-{number}")) for number in range(60)]
@@ -27,7 +29,7 @@
         assert "\nregistry_writes_total 60\n" in text and "registry_generation 60\n" in text
 
 
-async def test_write_when_its_client_has_gone_then_is_not_carried_out(path: Path) -> None:
+async def test_write_of_a_departed_client_is_dropped(path: Path) -> None:
     async with serving(path) as registry:
         gone, stays = [Connection(registry) for _ in range(2)]
         for connection, closing in ((gone, True), (stays, False)):
@@ -47,9 +49,7 @@
         assert list(registry.store.entries) == ["s-stays"] and registry.writes.rejected_writes == 1
 
 
-async def test_write_when_the_queue_is_full_then_is_rejected_with_retry_after(
-    path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+async def test_write_to_a_full_queue_gets_retry_after(path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(write_pipeline, "MAX_QUEUED_WRITES", 0)
     async with serving(path) as registry:
         head = f"POST /entries HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body())}\r\n\r\n".encode()
@@ -57,15 +57,15 @@
         assert status == 503 and 1 <= int(headers["retry-after"]) <= 5
 
 
-async def test_write_when_the_disk_fails_then_is_rejected_and_reads_go_on(path: Path) -> None:
+async def test_failing_disk_rejects_writes_and_reads_go_on(path: Path) -> None:
     async with serving(path) as registry:
         at = address_of(registry)
         await call(at, "POST /entries", body(instanceId="s-1"))
         registry.store.db.execute("PRAGMA query_only = 1")
-        status, told = await call(at, "POST /entries", body(instanceId="s-2"))
-        assert status == 503 and "readonly" in told["error"]
+        status, response = await call(at, "POST /entries", body(instanceId="s-2"))
+        assert status == 503 and "readonly" in response["error"]
         assert (await call(at, "GET /healthcheck"))[0] == 503
-        assert named((await call(at, "GET /catalog/members"))[1]) == {"s-1": "SERVING"}
+        assert lifecycles_by_id((await call(at, "GET /catalog/members"))[1]) == {"s-1": "SERVING"}
         registry.store.db.execute("PRAGMA query_only = 0")
         assert (await call(at, "POST /entries", body(instanceId="s-2")))[1]["version"] == 2
         assert (await call(at, "GET /healthcheck"))[0] == 200
@@ -97,7 +97,7 @@
         self.events.append(("failed", self.client.response is not None))
 
 
-async def test_write_when_durable_then_observers_are_notified_before_the_client(path: Path) -> None:
+async def test_observers_are_notified_before_the_client(path: Path) -> None:
     async with serving(path) as registry:
         client = FakeClient()
         observer = RecordingObserver(client)
@@ -108,7 +108,7 @@
         assert client.response.status == 200 and observer.events == [("written", False)]
 
 
-async def test_write_when_the_registry_is_fenced_on_the_way_to_the_disk_then_is_not_acknowledged(
+async def test_write_fenced_during_its_commit_is_rejected(
     path: Path,
 ) -> None:
     async with serving(path) as registry:
@@ -128,3 +128,31 @@
             await asyncio.sleep(0.001)
         assert client.response.status == 409 and "fenced" in client.response.value.error
         assert registry.writes.writes == 1  # it is durable, but nobody may rely on it
+
+
+async def test_observers_learn_of_a_batch_rejected_early(tmp_path: Path) -> None:
+    async with serving(tmp_path / "r.db") as registry:
+        failed: list[object] = []
+        registry.writes.observers.append(
+            SimpleNamespace(batch_written=lambda *_: None, batch_failed=failed.extend)
+        )
+        registry.peer_terms.fenced = Fenced(("127.0.0.1", 1), 9)
+        registry.writes._access.check_writable = lambda: None
+        status, _ = await call(address_of(registry), "POST /entries", body(instanceId="s-1"))
+        assert status == 409 and len(failed) == 1
+
+
+async def test_unexpected_error_fails_one_batch_only(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """As where no thread can be started, which is no error of the store."""
+    async with serving(tmp_path / "r.db") as registry:
+        run_in_turn = registry.writes._run_in_turn
+
+        async def fail(work: object) -> None:
+            registry.writes._run_in_turn = run_in_turn
+            raise RuntimeError("can't start new thread")
+
+        registry.writes._run_in_turn = fail
+        status, response = await call(address_of(registry), "POST /entries", body(instanceId="s-1"))
+        assert status == 503 and "can't start new thread" in response["error"]
+        await register_endpoint(registry, "s-2")
+        assert list(registry.store.entries) == ["s-2"]
--- a/tests/control/test_cli.py
+++ b/tests/control/test_cli.py
@@ -12,24 +12,24 @@
 ROOT = Path(__file__).parents[2]
 
 
-async def start_client(at: tuple[str, int], *words: str) -> asyncio.subprocess.Process:
+async def start_client(at: tuple[str, int], *arguments: str) -> asyncio.subprocess.Process:
     return await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "orchidhatch.client",
         "--at",
         f"{at[0]}:{at[1]}",
-        *words,
+        *arguments,
         cwd=ROOT,
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.PIPE,
     )
 
 
-async def client(at: tuple[str, int], *words: str) -> tuple[int, str, str]:
-    process = await start_client(at, *words)
-    out, errors = await process.communicate()
-    return process.returncode, out.decode(), errors.decode()
+async def client(at: tuple[str, int], *arguments: str) -> tuple[int, str, str]:
+    process = await start_client(at, *arguments)
+    output, errors = await process.communicate()
+    return process.returncode, output.decode(), errors.decode()
 
 
 REGISTER = (
@@ -49,7 +49,7 @@
 )
 
 
-async def test_commands_when_an_endpoint_is_registered_drained_and_removed_then_print_each_state(
+async def test_commands_print_each_state_of_an_endpoint(
     tmp_path: Path,
 ) -> None:
     async with serving(tmp_path / "list.db") as registry:
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "told"),
+    ("arguments", "reason"),
     [
         (("show", "s-9"), "no (404): not listed"),
         (("drain", "s-9"), "no (404): s-9 is not listed"),
@@ -77,16 +77,17 @@
         (("register", "s-1", "h:1", "--zone", "a", "--kind", "m", "--weight", "nan"), "no (400): NaN"),
     ],
 )
-async def test_command_when_refused_then_prints_one_line_and_changes_nothing(
-    tmp_path: Path, words: tuple[str, ...], told: str
+async def test_rejected_command_prints_one_line(
+    tmp_path: Path, arguments: tuple[str, ...], reason: str
 ) -> None:
+    """It changes nothing."""
     async with serving(tmp_path / "list.db") as registry:
-        status, out, errors = await client(address_of(registry), *words)
-        assert (status, out) == (1, "") and told in errors and errors.count("\n") == 1
+        status, output, errors = await client(address_of(registry), *arguments)
+        assert (status, output) == (1, "") and reason in errors and errors.count("\n") == 1
         assert registry.store.generation == 0
 
 
-async def test_watch_when_the_registry_closes_then_has_shown_each_change_and_says_so(tmp_path: Path) -> None:
+async def test_watch_shows_each_change_and_the_registrys_end(tmp_path: Path) -> None:
     async with serving(tmp_path / "list.db") as registry:
         process = await start_client(address_of(registry), "watch")
         assert await process.stdout.readline() == b"generation 0, the whole list:\n"
@@ -97,7 +98,7 @@
     assert process.returncode == 1 and b"watch" in errors and errors.count(b"\n") == 1
 
 
-async def test_command_when_no_service_answers_then_prints_one_line() -> None:
+async def test_command_without_an_answer_prints_one_line() -> None:
     for at in (refusing_address(), (HOST, "x"), (HOST, "0")):
         status, _, errors = await client(at, "list")
         assert status == 1 and errors.startswith("orchidhatch.client: ") and errors.count("\n") == 1
--- a/tests/control/test_http_response.py
+++ b/tests/control/test_http_response.py
@@ -19,21 +19,21 @@
 }
 
 
-def test_error_tree_when_extended_then_each_error_has_a_status_here() -> None:
+def test_each_error_of_the_tree_has_a_status() -> None:
     defined = {value for value in vars(errors).values() if isinstance(value, type)}
     assert defined - {errors.ControlError} == set(STATUSES)
 
 
 @pytest.mark.parametrize(("error", "status"), STATUSES.items())
-def test_error_when_answered_then_has_its_status_and_text(error: type[Exception], status: int) -> None:
+def test_error_response_has_status_and_text(error: type[Exception], status: int) -> None:
     assert error_response(error("the reason")) == Response(status, ErrorBody("the reason"))
 
 
-def test_error_when_of_no_known_cause_then_has_no_status() -> None:
+def test_unknown_error_has_no_status() -> None:
     assert not has_status(RuntimeError("a fault of the program"))
 
 
-def test_body_when_encoded_then_is_ascii_json_on_a_line() -> None:
+def test_body_is_ascii_json_on_a_line() -> None:
     body = Response(200, ErrorBody("caf\u00e9 \ud800")).body()
     assert body == b'{"error": "caf\\u00e9 \\ud800"}\n' and json.loads(body)
 
@@ -42,5 +42,5 @@
     ("store_name", "term"),
     [("0011 3", 3), ("0011 12", 12), ("", 0), ("0011 -3", 0), ("0011 " + "9" * 17, 0)],
 )
-def test_term_when_a_store_name_lacks_it_then_is_0(store_name: str, term: int) -> None:
+def test_term_of_a_store_name_without_one_is_0(store_name: str, term: int) -> None:
     assert term_of(store_name) == term
--- a/tests/control/test_http_server.py
+++ b/tests/control/test_http_server.py
@@ -9,7 +9,7 @@
 
 from orchidhatch.control import http_connection, list_handlers, watch_broadcaster
 from orchidhatch.control.http_response import STORE_HEADER
-from tests.control.registry.helpers import Watcher, address_of, call, named, raw, serving
+from tests.control.registry.helpers import Watcher, address_of, call, lifecycles_by_id, raw, serving
 from tests.control.test_schemas import body
 
 
@@ -18,32 +18,33 @@
     return tmp_path / "list.db"
 
 
-async def test_list_and_watch_when_endpoints_change_then_have_the_protocols_form(path: Path) -> None:
+async def test_list_and_watch_have_the_protocols_form(path: Path) -> None:
     async with serving(path) as registry:
         at = address_of(registry)
         early = await Watcher.open(at)
-        assert await early.news() == {"generation": 0, "reset": True, "instances": []}
+        assert await early.next_event() == {"generation": 0, "reset": True, "instances": []}
         assert (await call(at, "POST /entries", body(instanceId="s-1")))[0] == 200
-        assert await early.news() == {
+        assert await early.next_event() == {
             "generation": 1,
             "reset": False,
             "instances": [json.loads(body(instanceId="s-1"))],
         }
         status, made = await call(at, "POST /entries/s-1/lifecycle", b'{"lifecycle":"DRAINING"}')
         assert status == 200 and made["version"] == 2 and made["life"] == 1
-        assert named(await early.news()) == {"s-1": "DRAINING"}
+        assert lifecycles_by_id(await early.next_event()) == {"s-1": "DRAINING"}
         status, whole = await call(at, "GET /catalog/members")
         assert (status, whole["generation"], whole["reset"]) == (200, 2, True)
-        assert named(whole) == {"s-1": "DRAINING"}
+        assert lifecycles_by_id(whole) == {"s-1": "DRAINING"}
         assert (await call(at, "DELETE /entries/s-1"))[0] == 200
-        assert named(await early.news()) == {"s-1": "DELETED"}
+        assert lifecycles_by_id(await early.next_event()) == {"s-1": "DELETED"}
         _, whole = await call(at, "GET /catalog/members")
         assert whole == {"generation": 3, "reset": True, "instances": []}
 
 
-async def test_watch_when_history_reaches_back_then_resumes_and_else_begins_with_the_whole_list(
+async def test_watch_resumes_within_the_history(
     path: Path,
 ) -> None:
+    """Otherwise it begins with the whole list."""
     async with serving(path, max_history=3) as registry:
         at = address_of(registry)
         for number in range(5):
@@ -56,22 +57,20 @@
             99: (True, [f"s-{n}" for n in range(5)]),
         }
         for after, (reset, names) in expected.items():
-            news = await (await Watcher.open(at, after)).news()
-            assert (news["generation"], news["reset"], sorted(named(news))) == (5, reset, names)
+            event = await (await Watcher.open(at, after)).next_event()
+            assert (event["generation"], event["reset"], sorted(lifecycles_by_id(event))) == (5, reset, names)
 
 
-async def test_watch_when_nothing_changes_then_receives_heartbeats(
-    path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+async def test_watch_receives_heartbeats(path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(watch_broadcaster, "HEARTBEAT_INTERVAL_S", 0.01)
     async with serving(path) as registry:
         watcher = await Watcher.open(address_of(registry))
-        await watcher.news()
+        await watcher.next_event()
         assert [await watcher.chunk() for _ in range(3)] == [b"\n"] * 3
 
 
 @pytest.mark.parametrize(
-    ("line", "content", "status", "told"),
+    ("line", "content", "status", "reason"),
     [
         ("POST /entries", b"{", 400, "not JSON"),
         ("POST /entries", body(extra=1), 400, "extra"),
@@ -90,14 +89,15 @@
         ("GET //[", b"", 400, ""),
     ],
 )
-async def test_request_when_invalid_then_is_rejected_with_a_reason_and_changes_nothing(
-    path: Path, line: str, content: bytes, status: int, told: str
+async def test_invalid_request_is_rejected_with_a_reason(
+    path: Path, line: str, content: bytes, status: int, reason: str
 ) -> None:
+    """It changes nothing."""
     async with serving(path) as registry:
         at = address_of(registry)
         await call(at, "POST /entries", body())
         found = await call(at, line, content)
-        assert found[0] == status and told in found[1]["error"]
+        assert found[0] == status and reason in found[1]["error"]
         assert registry.store.generation == 1
         assert (await call(at, "GET /healthcheck"))[0] == 200
 
@@ -110,9 +110,7 @@
         b"POST /entries HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\n{",
     ],
 )
-async def test_request_when_incomplete_then_times_out(
-    path: Path, data: bytes, monkeypatch: pytest.MonkeyPatch
-) -> None:
+async def test_incomplete_request_times_out(path: Path, data: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(http_connection, "REQUEST_TIMEOUT_S", 0.05)
     async with serving(path) as registry:
         assert (await raw(address_of(registry), data))[0] == 408
@@ -120,9 +118,7 @@
             await asyncio.sleep(0.001)
 
 
-async def test_watch_when_not_read_then_is_aborted_and_not_buffered(
-    path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+async def test_unread_watch_is_aborted(path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(http_connection, "MAX_UNSENT_BYTES", 20_000)
     async with serving(path) as registry:
         at = address_of(registry)
@@ -135,7 +131,7 @@
             while not registry.broadcaster.watches:
                 await asyncio.sleep(0.001)
             quick = await Watcher.open(at)
-            await quick.news()
+            await quick.next_event()
             for _ in range(100):  # what the kernel holds is not ours to bound
                 for connection in list(registry.broadcaster.watches):
                     registry.broadcaster.send(connection, http_connection.encode_chunk(b" " * 60_000 + b"\n"))
@@ -144,12 +140,10 @@
                     break
             assert registry.broadcaster.aborted == 1 and len(registry.broadcaster.watches) == 1
             await call(at, "POST /entries", body(instanceId="s-1"))
-            assert named(await quick.news()) == {"s-1": "SERVING"}
+            assert lifecycles_by_id(await quick.next_event()) == {"s-1": "SERVING"}
 
 
-async def test_request_when_there_are_too_many_then_is_rejected_with_retry_after(
-    path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+async def test_excess_request_gets_retry_after(path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(http_connection, "MAX_REQUESTS", 0)
     async with serving(path) as registry:
         at = address_of(registry)
@@ -158,19 +152,17 @@
         assert registry.requests.rejected == 1
 
 
-async def test_watch_when_there_are_too_many_then_is_rejected(
-    path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+async def test_excess_watch_is_rejected(path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(list_handlers, "MAX_WATCHES", 1)
     async with serving(path) as registry:
         at = address_of(registry)
         first = await Watcher.open(at)
         status, response = await call(at, "GET /catalog/members?watch=1")
         assert status == 503 and "too many watches" in response["error"]
-        assert await first.news() and registry.requests.rejected == 1
+        assert await first.next_event() and registry.requests.rejected == 1
 
 
-async def test_watch_when_it_names_another_store_then_begins_with_the_whole_list(path: Path) -> None:
+async def test_watch_of_another_store_begins_with_the_whole_list(path: Path) -> None:
     async with serving(path) as registry:
         at = address_of(registry)
         assert (await call(at, "POST /entries", body(instanceId="s-1")))[0] == 200
@@ -184,13 +176,13 @@
             writer.close()
 
 
-async def test_watch_when_endpoints_change_one_after_another_then_receives_each_change_once(
+async def test_watch_receives_each_change_once(
     path: Path,
 ) -> None:
     async with serving(path) as registry:
         at = address_of(registry)
         watcher = await Watcher.open(at)
-        assert named(await watcher.news()) == {}
+        assert lifecycles_by_id(await watcher.next_event()) == {}
         for name in ("s-1", "s-2", "s-3"):
             assert (await call(at, "POST /entries", body(instanceId=name)))[0] == 200
-            assert named(await watcher.news()) == {name: "SERVING"}
+            assert lifecycles_by_id(await watcher.next_event()) == {name: "SERVING"}
--- a/tests/control/test_lease_table.py
+++ b/tests/control/test_lease_table.py
@@ -36,21 +36,21 @@
         return self.removed[before:]
 
 
-def test_lease_when_not_renewed_then_runs_out_and_the_others_stay() -> None:
+def test_lease_expires_alone() -> None:
     clock = LeaseClock(50)
     assert clock.advance(9, silent=(7,)) == []
     assert clock.advance(2, silent=(7,)) == ["s-7"]
     assert clock.advance(60, silent=(7,)) == [] and not clock.table.withheld
 
 
-def test_leases_when_many_run_out_together_then_are_withheld_until_renewed() -> None:
+def test_mass_expiry_is_withheld_until_renewal() -> None:
     clock = LeaseClock(50)
     assert clock.advance(40, silent=range(1, 26)) == [] and clock.table.withheld == 25
     assert clock.advance(2) == [] and clock.table.withheld == 0
     assert clock.advance(12, silent=(9,)) == ["s-9"]
 
 
-def test_leases_when_many_run_out_one_after_another_then_are_withheld() -> None:
+def test_successive_mass_expiry_is_withheld() -> None:
     clock = LeaseClock(50)
     silent: list[int] = []
     for number in range(1, 41):  # one more falls silent each half second or so
@@ -61,12 +61,12 @@
     assert clock.table.withheld >= 40 - len(clock.removed)
 
 
-def test_leases_when_there_are_few_then_all_may_run_out() -> None:
+def test_few_leases_may_all_expire() -> None:
     clock = LeaseClock(DEFAULT_LIMIT.few)
     assert sorted(clock.advance(12, silent=range(9))) == ["s-1", "s-2"]
 
 
-def test_leases_when_the_process_was_paused_then_are_extended_by_the_pause() -> None:
+def test_pause_of_the_process_extends_leases() -> None:
     clock = LeaseClock(3)
     clock.advance(5)
     clock.now += 3600  # stopped, then going on
@@ -74,14 +74,14 @@
     assert clock.advance(4, silent=(1,)) == ["s-1"]
 
 
-def test_renewal_when_of_an_earlier_incarnation_then_is_rejected() -> None:
+def test_renewal_of_an_earlier_incarnation_is_rejected() -> None:
     leases = LeaseTable([leased_endpoint(1, incarnation=5)], 0.0)
     assert not leases.renew("s-1", 4, 1.0) and not leases.renew("s-2", 5, 1.0)
     assert leases.leases["s-1"].due_s == 10.0
     assert leases.renew("s-1", 5, 1.0) and leases.leases["s-1"].due_s == 11.0
 
 
-def test_endpoint_when_without_a_lease_then_stays() -> None:
+def test_endpoint_without_a_lease_stays() -> None:
     leases = LeaseTable([leased_endpoint(1, lease_ms=0)], 0.0)
     assert leases.take_overdue(1e9) == [] and not leases.leases
     leases.begin(leased_endpoint(1), 0.0)
--- a/tests/control/test_registry_client.py
+++ b/tests/control/test_registry_client.py
@@ -42,15 +42,13 @@
         (200, b"", HttpResponse(200, None, "abc 7")),
     ],
 )
-async def test_call_when_answered_then_gives_status_value_and_store(
-    status: int, content: bytes, expected: HttpResponse
-) -> None:
+async def test_call_gives_status_value_and_store(status: int, content: bytes, expected: HttpResponse) -> None:
     async with answering(status, content) as address:
         result = await call(address, "GET", "/x")
     assert result == expected and result.ok == (status == 200)
 
 
-async def test_call_when_nobody_answers_then_gives_no_response() -> None:
+async def test_call_without_an_answer_gives_no_response() -> None:
     result = await call(refusing_address(), "GET", "/x")
     assert isinstance(result, NoResponse) and not result.ok and "refused" in result.reason
 
@@ -63,9 +61,7 @@
         (409, b'{"error":"fenced: 127.0.0.1:1 is of term 3, this is of 2"}'),
     ],
 )
-async def test_registry_client_when_one_accepts_no_writes_then_asks_the_next_and_stays_there(
-    status: int, content: bytes
-) -> None:
+async def test_client_stays_with_the_registry_that_takes_writes(status: int, content: bytes) -> None:
     refused: list[str] = []
     async with answering(status, content, refused) as replica, answering(200, b"{}") as primary:
         client = RegistryClient([replica, primary])
@@ -75,14 +71,15 @@
 
 
 @pytest.mark.parametrize("status", [400, 404, 409, 500])
-async def test_registry_client_when_a_request_is_refused_then_gives_the_refusal(status: int) -> None:
+async def test_client_returns_a_rejection(status: int) -> None:
     async with answering(status, b'{"error":"s-1 is at version 3, not 2"}') as primary:
         client = RegistryClient([primary, refusing_address()])
         result = await client.call("POST", "/entries", {})
     assert result.status == status and client.current_index == 0
 
 
-async def test_registry_client_when_none_accepts_writes_then_tells_whether_the_last_was_unavailable() -> None:
+async def test_client_without_a_writable_registry() -> None:
+    """It returns the last response only if that says that the service is unavailable."""
     async with answering(503, b'{"error":"busy"}') as busy, answering(409, b'{"error":"fenced"}') as fenced:
         unavailable = await RegistryClient([fenced, busy]).call("POST", "/entries", {})
         silent = await RegistryClient([busy, refusing_address()]).call("POST", "/entries", {})
--- a/tests/control/test_router.py
+++ b/tests/control/test_router.py
@@ -21,16 +21,16 @@
     return Request(method, path, "", b"", RecordingConnection())
 
 
-def test_router_when_a_route_fits_then_hands_over_the_parameters() -> None:
+def test_router_hands_over_the_parameters() -> None:
     router = Router()
     router.add("POST", "/claims/{}/take", lambda request, claim: Response(200, claim))
-    asked = request("POST", "claims", "x", "take")
-    assert router.dispatch(asked)
-    assert asked.connection.responses == [Response(200, "x")]
+    incoming = request("POST", "claims", "x", "take")
+    assert router.dispatch(incoming)
+    assert incoming.connection.responses == [Response(200, "x")]
 
 
 @pytest.mark.parametrize(
-    "asked",
+    "incoming",
     [
         request("GET", "claims", "x", "take"),
         request("POST", "claims", "x"),
@@ -38,11 +38,11 @@
         request("POST", "claims", "x", "take", ""),
     ],
 )
-def test_router_when_no_route_fits_then_says_so(asked: Request) -> None:
+def test_router_dispatches_no_unknown_route(incoming: Request) -> None:
     router = Router()
     router.add("POST", "/claims/{}/take", lambda request, claim: Response(200, claim))
-    assert not router.dispatch(asked)
-    assert asked.connection.responses == []
+    assert not router.dispatch(incoming)
+    assert incoming.connection.responses == []
 
 
 @pytest.mark.parametrize(
@@ -59,15 +59,15 @@
     assert not router.dispatch(request("GET", *path))
 
 
-def test_router_when_a_handler_answers_later_then_sends_nothing() -> None:
+def test_router_sends_nothing_for_a_later_answer() -> None:
     router = Router()
     router.add("GET", "/claims", lambda request: None)
-    asked = request("GET", "claims")
-    assert router.dispatch(asked)
-    assert asked.connection.responses == []
+    incoming = request("GET", "claims")
+    assert router.dispatch(incoming)
+    assert incoming.connection.responses == []
 
 
-def test_router_when_a_handler_fails_then_raises_its_error() -> None:
+def test_router_raises_the_error_of_a_handler() -> None:
     def fail(request: Request) -> Response:
         raise NotFoundError("no such claim")
 
--- a/tests/control/test_schemas.py
+++ b/tests/control/test_schemas.py
@@ -39,7 +39,8 @@
     return json.dumps({key: value for key, value in values.items() if value is not None}).encode()
 
 
-def test_watch_event_when_encoded_then_has_the_protocols_form_to_the_letter() -> None:
+def test_watch_event_has_the_protocols_form() -> None:
+    """To the letter."""
     entry = read_register_endpoint(body()).endpoint
     assert encode_watch_event(41, True, [entry]) == (
         b'{"generation":41,"reset":true,"instances":[{"instanceId":"s-5be2a07c","hostPort":"10.1.0.18:6379",'
@@ -51,7 +52,7 @@
     )
 
 
-def test_registration_when_fields_are_left_out_then_has_their_defaults() -> None:
+def test_registration_has_defaults_for_missing_fields() -> None:
     found = read_register_endpoint(
         body(cell=None, lifecycle=None, weight=None, startedAtMs=None, ifVersion=7)
     )
@@ -70,7 +71,7 @@
 
 
 @pytest.mark.parametrize(
-    ("given", "told"),
+    ("given", "reason"),
     [
         (b"", "not JSON"),
         (b"{", "not JSON"),
@@ -115,10 +116,10 @@
         (body(ifVersion="3"), "ifVersion"),
     ],
 )
-def test_registration_when_malformed_then_is_rejected_in_one_plain_line(given: bytes, told: str) -> None:
+def test_malformed_registration_is_rejected_in_one_line(given: bytes, reason: str) -> None:
     with pytest.raises(InvalidRequestError) as caught:
         read_register_endpoint(given)
-    assert told in str(caught.value) and "\n" not in str(caught.value) and len(str(caught.value)) < 300
+    assert reason in str(caught.value) and "\n" not in str(caught.value) and len(str(caught.value)) < 300
 
 
 @given(
@@ -129,7 +130,7 @@
         | st.dictionaries(st.sampled_from(sorted([*GIVEN, "ifVersion", "life", "x"])), inner, max_size=9),
     ).map(lambda value: json.dumps(value).encode())
 )
-def test_request_when_its_body_is_arbitrary_then_is_read_or_rejected(given: bytes) -> None:
+def test_arbitrary_body_is_read_or_rejected(given: bytes) -> None:
     for read in (
         read_register_endpoint,
         lambda it: read_change_lifecycle("s-1", it),
@@ -141,21 +142,21 @@
             assert "\n" not in str(error)
 
 
-def test_changes_and_removals_when_read_then_have_their_conditions() -> None:
+def test_changes_and_removals_have_their_conditions() -> None:
     assert read_change_lifecycle("s-1", b'{"lifecycle":"DRAINING","ifVersion":4}') == ChangeLifecycle(
         "s-1", "DRAINING", 4
     )
     assert read_remove_endpoint("s-1", b"") == RemoveEndpoint("s-1")
     assert read_remove_endpoint("s-1", b'{"life":9}') == RemoveEndpoint("s-1", None, 9)
-    for words in (b"{}", b'{"lifecycle":"GONE"}'):
+    for content in (b"{}", b'{"lifecycle":"GONE"}'):
         with pytest.raises(InvalidRequestError, match="lifecycle"):
-            read_change_lifecycle("s-1", words)
+            read_change_lifecycle("s-1", content)
     with pytest.raises(InvalidRequestError, match="instanceId"):
         read_remove_endpoint("../x", b"")
 
 
 @pytest.mark.parametrize("value", ["", "-1", "1.0", "x", "\u0661", "9" * 17])
-def test_generation_of_a_watch_when_no_plain_number_then_is_rejected(value: str) -> None:
+def test_odd_generation_of_a_watch_is_rejected(value: str) -> None:
     with pytest.raises(InvalidRequestError):
         read_after(value)
     assert read_after("41") == 41
@@ -174,12 +175,12 @@
         startedAtMs=st.integers(0, 1 << 41),
     )
 )
-def test_gateway_when_an_endpoint_is_registered_then_reads_it(given: dict[str, object]) -> None:
+def test_gateway_reads_a_registered_endpoint(given: dict[str, object]) -> None:
     entry: Endpoint = read_register_endpoint(json.dumps(given).encode()).endpoint
     catalog = Catalog(CONFIG)
-    news = catalog.news(json.loads(encode_watch_event(3, True, [entry])))
-    [server] = news.event.endpoints
-    assert news.event.kind is EndpointListKind.FULL and server.name == given["instanceId"]
-    assert news.addresses == {entry.id: ("127.0.0.1", int(entry.address.rpartition(":")[2]))}
+    event = catalog.news(json.loads(encode_watch_event(3, True, [entry])))
+    [server] = event.event.endpoints
+    assert event.event.kind is EndpointListKind.FULL and server.name == given["instanceId"]
+    assert event.addresses == {entry.id: ("127.0.0.1", int(entry.address.rpartition(":")[2]))}
     assert (server.state is EndpointState.UP) == (given["lifecycle"] == "SERVING")
     assert server.relative_capacity == given["weight"] and server.cell == given["cell"]
