--- a/orchidhatch/control/policy/term_decision.py
+++ b/orchidhatch/control/policy/term_decision.py
@@ -13,7 +13,12 @@
 from orchidhatch.control.policy.document import document_digest
 from orchidhatch.control.policy.gateway_directory import GatewayDirectory
 from orchidhatch.control.policy.lease_host import LeaseHost
-from orchidhatch.control.policy.records import DECISION_RECORD, Decision, document_record, encode_decision
+from orchidhatch.control.policy.policy_records import (
+    DECISION_RECORD,
+    Decision,
+    document_record,
+    encode_decision,
+)
 from orchidhatch.control.policy.timing import ACTIVATION_DELAY_S
 
 log = logging.getLogger("orchidhatch.policy")
@@ -54,15 +59,15 @@
         stored = KnownDecision(decision.number, decision.digest) if decision else KnownDecision(0, "")
         return max([stored, *known])
 
-    def wanted_document(self, gateway: str) -> str:
+    def requested_document(self, gateway: str) -> str:
         """The digest of a document that must be stored before it can be decided, if this gateway has it."""
         digest = self.highest_known().digest
         report = self._directory.report_of(gateway)
-        is_wanted = bool(digest) and not self._has_document(digest)
-        return digest if is_wanted and digest in report.ready else ""
+        is_missing = bool(digest) and not self._has_document(digest)
+        return digest if is_missing and digest in report.ready else ""
 
     def advance(self) -> None:
-        """Store a reported document that is wanted, or write the decision, as soon as that is possible."""
+        """Store a reported document that is missing, or write the decision, as soon as that is possible."""
         if self._store_reported_document():
             return
         digest = self.highest_known().digest
@@ -73,12 +78,12 @@
         self.is_writing = self._host.enqueue_internal(write)
 
     def _store_reported_document(self) -> bool:
-        """Whether a gateway has sent the wanted document, which is being stored now."""
-        wanted = self.highest_known().digest
+        """Whether a gateway has sent the missing document, which is being stored now."""
+        digest = self.highest_known().digest
         for report in self._directory.reports():
             text = report.document_text
-            if text and document_digest(text) == wanted and not self._has_document(wanted):
-                write = PutRecord(document_record(wanted), text, if_version=ABSENT_VERSION)
+            if text and document_digest(text) == digest and not self._has_document(digest):
+                write = PutRecord(document_record(digest), text, if_version=ABSENT_VERSION)
                 self._host.enqueue_internal(write)
                 return True
         return False
@@ -107,8 +112,8 @@
         """What the gateways may go by until they go by this document.
 
         If some do already, its activation time has passed, and no gateway goes by another one any more,
-        whether or not it had heard of it. If all go by one other document, one of them may do so a while
-        longer without hearing of this registry, and so they all may.
+        whether or not the decision had reached it. If all go by one other document, one of them may do so a
+        while longer without reaching this registry, and so they all may.
         """
         reports = map(self._directory.report_of, self._directory.names())
         active = {report.active_digest for report in reports if report is not None}
--- a/orchidhatch/control/registry/service.py
+++ b/orchidhatch/control/registry/service.py
@@ -14,13 +14,14 @@
 from orchidhatch.control.http_client import Address
 from orchidhatch.control.http_response import Response
 from orchidhatch.control.http_server import EndpointListServer
-from orchidhatch.control.leases import CHECK_INTERVAL_S
-from orchidhatch.control.ownership.handlers import OwnershipHandlers
+from orchidhatch.control.lease_table import CHECK_INTERVAL_S
+from orchidhatch.control.ownership.ownership_handlers import OwnershipHandlers
 from orchidhatch.control.ownership.service import OwnershipService
-from orchidhatch.control.policy.handlers import PolicyHandlers
-from orchidhatch.control.policy.leases import GatewayPolicyLeases
+from orchidhatch.control.policy.gateway_policy_leases import GatewayPolicyLeases
+from orchidhatch.control.policy.policy_handlers import PolicyHandlers
+from orchidhatch.control.registry.backup_handlers import BackupHandlers
 from orchidhatch.control.registry.backups import Backups
-from orchidhatch.control.registry.handlers import BackupHandlers, EndpointHandlers, TermHandlers
+from orchidhatch.control.registry.endpoint_handlers import EndpointHandlers
 from orchidhatch.control.registry.lease_expiry import EndpointLeaseExpiry
 from orchidhatch.control.registry.peer_terms import PeerTermGuard
 from orchidhatch.control.registry.policy_lease_host import PolicyLeaseHost
@@ -28,6 +29,7 @@
 from orchidhatch.control.registry.replica_role import ReplicaRole
 from orchidhatch.control.registry.replication import Replicator
 from orchidhatch.control.registry.store import Store
+from orchidhatch.control.registry.term_handlers import TermHandlers
 from orchidhatch.control.registry.write_access import WriteAccess
 from orchidhatch.control.registry.write_pipeline import WritePipeline
 from orchidhatch.control.responses import ReplicaHealthResponse
@@ -56,7 +58,9 @@
         self.role = ReplicaRole(self._new_replicator(follow))
         self.peer_terms = PeerTermGuard(store, peers, self.now_s, lambda: self.replicator is not None)
         access = WriteAccess(self.role, self.peer_terms)
-        self.writes = WritePipeline(store, access, self.peer_terms, self.run_in_turn, self.broadcast)
+        self.writes = WritePipeline(
+            store, access, self.peer_terms, self.store_executor.run, self.broadcaster.broadcast
+        )
         self.lease_expiry = EndpointLeaseExpiry(store, self.writes, self.now_s)
         self.ownership = OwnershipService(store, self.writes, self.now_s)
         policy_host = PolicyLeaseHost(store, self.writes, access, self.peer_terms, self.now_s)
@@ -67,7 +71,7 @@
             self.policy_leases,
         ]
         self.promotion = Promotion(store, self.role, self.peer_terms, self._begin_term)
-        self._backup_handlers = BackupHandlers(store, self.run_in_turn, self.start_task)
+        self._backup_handlers = BackupHandlers(store, self.store_executor.run, self.tasks.start_for_request)
         self.backups = Backups(backups) if backups else None
         self._add_routes(access, policy_host)
 
@@ -85,7 +89,9 @@
 
     def _add_routes(self, access: WriteAccess, policy_host: PolicyLeaseHost) -> None:
         EndpointHandlers(self.store, self.writes, self.lease_expiry, access).add_routes(self.router)
-        TermHandlers(self.peer_terms, self.promotion, self.turn, self.start_task).add_routes(self.router)
+        TermHandlers(
+            self.peer_terms, self.promotion, self.store_executor.lock, self.tasks.start_for_request
+        ).add_routes(self.router)
         self._backup_handlers.add_routes(self.router)
         table = self.store.claims_table
         OwnershipHandlers(table, self.ownership, self.writes, access).add_routes(self.router)
@@ -100,11 +106,11 @@
         coroutines = [self.writes.run(), self._check_leases()]
         if self.peer_terms.has_peers:
             coroutines.append(self.peer_terms.keep_checking())
-        self.start_loops(coroutines)
+        self.tasks.start_loops(coroutines)
         replicator = self.replicator
         if replicator:
             copy_policies = self.policy_leases.replicate(lambda: replicator.upstream_address)
-            self.tasks += self.role.start([replicator.run(), copy_policies])
+            self.tasks.add(self.role.start([replicator.run(), copy_policies]))
 
     def _begin_term(self) -> None:
         """Begin anew after a promotion; all watches end, as they are of another term."""
@@ -120,6 +126,7 @@
 
     async def _check_forever(self, check: Callable[[], object]) -> None:
         def check_own() -> None:
+            """Check the leases, unless they are the upstream's."""
             if not self.replicator:
                 check()
 
@@ -143,6 +150,7 @@
 
     @backups.setter
     def backups(self, backups: Backups | None) -> None:
+        """Keep backups there from now on."""
         self._backup_handlers.backups = backups
 
     def store_name(self) -> str:
@@ -174,7 +182,7 @@
         return self.format_metrics(
             "registry",
             {
-                "shed_total": self.rejected_requests + self.writes.rejected_writes,
+                "shed_total": self.requests.rejected + self.writes.rejected_writes,
                 **self.ownership.metrics(),
                 **self.policy_leases.metrics(),
                 **self._backup_handlers.metrics(),
