--- a/orchidhatch/faults/cli.py
+++ b/orchidhatch/faults/cli.py
@@ -25,11 +25,11 @@
 from orchidhatch.faults.invariants.check_trial import check_trial
 from orchidhatch.faults.invariants.trial_record import TrialRecord
 from orchidhatch.faults.invariants.violations import Verdict
-from orchidhatch.faults.links import Watchman
+from orchidhatch.faults.loop_monitor import LoopMonitor
 from orchidhatch.faults.plan import PlanError, Script, draw, read_plan, read_script
 from orchidhatch.faults.processes import ROOT, TrialError
-from orchidhatch.faults.runner import Timeline
-from orchidhatch.faults.seeded_defects import PLANTS
+from orchidhatch.faults.runner import ScenarioRunner
+from orchidhatch.faults.seeded_defects import SEEDED_DEFECTS
 
 PLANS = ROOT / "trials"
 HELD, BROKEN, WRONG, UNSAID = 0, 1, 2, 3
@@ -40,17 +40,18 @@
 async def play(script: Script, folder: Path, plant: str) -> None:
     """The whole trial; its events are in the folder afterwards, whatever happened."""
     recorder = Recorder("trial", folder)
-    fleet, watchman = Fleet(script, folder, recorder, plant), Watchman(recorder)
+    fleet = Fleet(script, folder, recorder, plant)
+    monitor = LoopMonitor(recorder)
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, asyncio.current_task().cancel)
     try:
         await fleet.start()
-        watchman.start()
-        await Timeline(fleet).play()
+        monitor.start()
+        await ScenarioRunner(fleet).run()
     finally:
-        if watchman.task:
-            await watchman.close()
+        if monitor.task:
+            await monitor.close()
         await fleet.close()
         recorder.close()
 
@@ -137,7 +138,9 @@
         one.add_argument("file", help="a plan's name or file" if name == "run" else "a script.json")
         if name == "run":
             one.add_argument("--seed", type=int, required=True)
-        one.add_argument("--plant", choices=sorted(PLANTS), default="", help="put a defect into the program")
+        one.add_argument(
+            "--plant", choices=sorted(SEEDED_DEFECTS), default="", help="put a defect into the program"
+        )
         one.add_argument("--json", action="store_true")
         one.add_argument("--keep", type=Path, help="an empty or new folder for events and logs")
     return parser.parse_args()
--- a/orchidhatch/faults/invariants/answers.py
+++ b/orchidhatch/faults/invariants/answers.py
@@ -21,7 +21,7 @@
     for request, sent in trial.requests.items():
         yield from AnswerCheck(trial, request, sent).violations()
     for event in trial.events("surplus"):
-        yield Violation(CHECK, event.about, f"an answer that nobody asked for: {event.told['reply']}")
+        yield Violation(CHECK, event.about, f"an answer that nobody asked for: {event.payload['reply']}")
 
 
 class AnswerCheck:
@@ -32,7 +32,7 @@
         self.request = request
         self.sent = sent
         self.answers = trial.answers.get(request, [])
-        self.gateway = f"door-{sent.told['door']}"
+        self.gateway = f"door-{sent.payload['door']}"
         end_ns = self.answers[0].at_ns if self.answers else trial.last_ns
         faults = trial.faults
         has_ended = faults.overlaps(self.gateway, sent.at_ns, end_ns, "down", "kill", "term")
@@ -49,8 +49,8 @@
             yield self._violation(f"no answer of {self.gateway} by the end")
 
     def _answer_violations(self, answer: Event) -> Iterator[Violation]:
-        outcome = answer.told["how"]
-        text = answer.told["text"]
+        outcome = answer.payload["how"]
+        text = answer.payload["text"]
         if outcome == "served" and text.rpartition(":")[2] != self.request:
             yield self._violation(f"served with the value of another: {text}")
         if outcome == "closed" and not self._may_close(answer):
@@ -80,7 +80,7 @@
         The event loop then takes and closes what waits in the backlog, unread: by the operators' pages such a
         request has failed and is not lost.
         """
-        if not self.sent.told.get("new", False):
+        if not self.sent.payload.get("new", False):
             return False
         return self.trial.faults.overlaps(self.gateway, self.sent.at_ns, self.sent.at_ns, "accept")
 
--- a/orchidhatch/faults/invariants/attempt_reader.py
+++ b/orchidhatch/faults/invariants/attempt_reader.py
@@ -48,13 +48,13 @@
     def _index_ends(self) -> None:
         for event in of(self.db, "opened", "left"):
             link = event.about
-            port = event.told["port"]
+            port = event.payload["port"]
             if event.what == "opened":
                 self.opened[link.partition(">")[2], port].append((event.at_ns, link))
             else:
                 self.left[link, port].append(event.at_ns)
         for event in of(self.db, "over"):
-            self.replied[event.about, event.told["backend"], event.told["port"]].append(event.at_ns)
+            self.replied[event.about, event.payload["backend"], event.payload["port"]].append(event.at_ns)
 
     def read(self) -> Iterator[Attempt]:
         """All attempts, in the order in which they began."""
@@ -62,8 +62,8 @@
             yield self._attempt(event)
 
     def _attempt(self, event: Event) -> Attempt:
-        port = event.told["port"]
-        backend = event.told["backend"]
+        port = event.payload["port"]
+        backend = event.payload["backend"]
         latest_ns = event.at_ns + SOCKET_SLACK_NS
         links = [(at_ns, link) for at_ns, link in self.opened[event.who, port] if at_ns <= latest_ns]
         opened_ns, link = links[-1] if links else (0, "")
@@ -81,8 +81,8 @@
             gateway=int(link.partition(">")[0].partition("-")[2]) if link else NO_GATEWAY,
             begin=event.at_ns,
             end=min(ends),
-            customer=event.told["customer"],
-            stated_ms=event.told.get("told_ms", 0),
+            customer=event.payload["customer"],
+            stated_ms=event.payload.get("told_ms", 0),
             port=port,
         )
 
--- a/orchidhatch/faults/invariants/drains.py
+++ b/orchidhatch/faults/invariants/drains.py
@@ -40,7 +40,7 @@
     notices: Notices = defaultdict(list)
     for event in trial.events("news"):
         gateway = int(event.about.partition("-")[2])
-        for state, backends in event.told["states"].items():
+        for state, backends in event.payload["states"].items():
             for backend in backends:
                 notices[gateway, backend].append((event.at_ns, state == "SERVING"))
     return notices
--- a/orchidhatch/faults/invariants/endpoint_list.py
+++ b/orchidhatch/faults/invariants/endpoint_list.py
@@ -19,15 +19,15 @@
     lists = [event for event in trial.events("list") if event.about.startswith("registry-")]
     if not lists:
         return
-    last = max(lists, key=lambda event: term_of(event.told["store"]))
-    last_term = term_of(last.told["store"])
-    promoted_ns = [event.at_ns for event in trial.events("promote") if event.told["status"] == HTTP_OK]
+    last = max(lists, key=lambda event: term_of(event.payload["store"]))
+    last_term = term_of(last.payload["store"])
+    promoted_ns = [event.at_ns for event in trial.events("promote") if event.payload["status"] == HTTP_OK]
     writes = {event.about: event for event in trial.events("write")}
-    leaving = {event.told["id"] for event in writes.values() if event.told["method"] == "DELETE"}
+    leaving = {event.payload["id"] for event in writes.values() if event.payload["method"] == "DELETE"}
     for event in trial.events("answer"):
-        if event.told["status"] != HTTP_OK:
+        if event.payload["status"] != HTTP_OK:
             continue
-        term = term_of(event.told["store"])
+        term = term_of(event.payload["store"])
         if promoted_ns and term < last_term:
             # Before the promotion: the replica may not have had it yet.
             if event.at_ns > promoted_ns[-1]:
@@ -41,11 +41,11 @@
 
 def is_lost(answer: Event, write: Event, last: Event, leaving: set[str]) -> bool:
     """Whether an acknowledged write of a tracked entry does not show in the last list."""
-    entry = answer.told["id"]
-    is_removal = write.told["method"] == "DELETE"
+    entry = answer.payload["id"]
+    is_removal = write.payload["method"] == "DELETE"
     if entry in leaving and not is_removal:
         return False  # it was to leave again, answered or not
-    return entry.startswith(TRACKED_PREFIX) and (entry in last.told["listed"]) == is_removal
+    return entry.startswith(TRACKED_PREFIX) and (entry in last.payload["listed"]) == is_removal
 
 
 def check_generations(trial: TrialRecord) -> Iterator[Violation]:
@@ -53,7 +53,7 @@
     highest: dict[str, int] = {}
     for event in trial.events("news"):
         gateway = event.about
-        generation = event.told["generation"]
+        generation = event.payload["generation"]
         if generation < highest.get(gateway, 0):
             text = f"told generation {generation} after {highest[gateway]}"
             yield Violation(GENERATIONS_CHECK, gateway, text)
--- a/orchidhatch/faults/invariants/fault_intervals.py
+++ b/orchidhatch/faults/invariants/fault_intervals.py
@@ -32,9 +32,9 @@
     def _add(self, event: Event) -> None:
         subject = event.about
         if event.what == "fault":
-            self._begin(subject, event.told["kind"], event.at_ns)
+            self._begin(subject, event.payload["kind"], event.at_ns)
         elif event.what == "undone":
-            kind = event.told["kind"]
+            kind = event.payload["kind"]
             begin_ns = self._open[subject, kind].pop(0)
             self.by_subject[subject].append(FaultInterval(begin_ns, event.at_ns, kind))
         elif event.what == "exit":
--- a/orchidhatch/faults/invariants/measurements.py
+++ b/orchidhatch/faults/invariants/measurements.py
@@ -20,15 +20,15 @@
 def measure_machine(trial: TrialRecord, verdict: Verdict) -> None:
     """Say in the verdict whether the machine was fast enough, and what could not be carried out."""
     for event in trial.events("shim"):
-        if not event.told["built"]:
+        if not event.payload["built"]:
             verdict.skipped.append("no C compiler here: no system call was made to fail")
     for event in trial.events("relay"):
-        for name, value in event.told.items():
+        for name, value in event.payload.items():
             if name != "ticks":
                 trial.figures[f"relay_late_{name}"] = round(value, 3)
-        if event.told["most_ms"] > MAX_LATE_RELAY_MS:
-            verdict.too_slow.append(f"the relays' loop stood still for {event.told['most_ms']:.0f} ms")
-    late_ms = sorted(sent.told["late_us"] / 1000 for sent in trial.requests.values())
+        if event.payload["most_ms"] > MAX_LATE_RELAY_MS:
+            verdict.too_slow.append(f"the relays' loop stood still for {event.payload['most_ms']:.0f} ms")
+    late_ms = sorted(sent.payload["late_us"] / 1000 for sent in trial.requests.values())
     if not late_ms:
         return
     p99_ms = late_ms[len(late_ms) * 99 // 100]
@@ -41,7 +41,7 @@
 
 def measure_service(trial: TrialRecord) -> None:
     """Measure what clients got, and how soon."""
-    outcomes = Counter(answers[0].told["how"] for answers in trial.answers.values())
+    outcomes = Counter(answers[0].payload["how"] for answers in trial.answers.values())
     latencies = latency_histogram(trial)
     sent = max(1, len(trial.requests))
     trial.figures |= {
@@ -53,7 +53,7 @@
         "closed": outcomes["closed"],
         "unsent": outcomes["unsent"],
         "faults": len(trial.events("fault")),
-        "injected_calls": sum(event.told["count"] for event in trial.events("injected")),
+        "injected_calls": sum(event.payload["count"] for event in trial.events("injected")),
         "left": outcomes["left"],
         "odd_clients": len(trial.events("odd")),
         "spoilt_answers": len(trial.events("spoilt")),
@@ -67,7 +67,7 @@
     latencies = HdrHistogram(1, MAX_LATENCY_US, LATENCY_DIGITS)
     for request, answers in trial.answers.items():
         answer = answers[0]
-        if answer.told["how"] == "served" and request in trial.requests:
+        if answer.payload["how"] == "served" and request in trial.requests:
             latency_us = (answer.at_ns - trial.requests[request].at_ns) // 1000
             latencies.record_value(max(1, latency_us))
     return latencies
@@ -77,7 +77,7 @@
     """As many requests are served as the plan wants."""
     if not trial.requests:
         return
-    served = sum(answers[0].told["how"] == "served" for answers in trial.answers.values())
+    served = sum(answers[0].payload["how"] == "served" for answers in trial.answers.values())
     share = served / len(trial.requests)
     wanted = trial.plan.holds.served
     if share < wanted:
--- a/orchidhatch/faults/invariants/ownership.py
+++ b/orchidhatch/faults/invariants/ownership.py
@@ -27,17 +27,17 @@
         before = latest.get(event.about)
         if before:
             yield from claim_violations(before, event)
-        if event.told["holder"]:
+        if event.payload["holder"]:
             latest[event.about] = event
 
 
 def claim_violations(before: Event, event: Event) -> Iterator[Violation]:
     """What is wrong with a claim's holder and epoch after those before."""
-    epoch = event.told["epoch"]
-    previous_epoch = before.told["epoch"]
+    epoch = event.payload["epoch"]
+    previous_epoch = before.payload["epoch"]
     if epoch < previous_epoch:
         yield Violation(OWNERS_CHECK, event.about, f"at epoch {epoch} after {previous_epoch}")
-    elif epoch == previous_epoch and event.told["life"] not in ("", before.told["life"]):
+    elif epoch == previous_epoch and event.payload["life"] not in ("", before.payload["life"]):
         yield Violation(OWNERS_CHECK, event.about, f"two holders by epoch {epoch}")
 
 
@@ -60,7 +60,7 @@
         yield from self._check_task_state(event)
 
     def _check_epoch(self, receiver: str, event: Event) -> Iterator[Violation]:
-        effect = event.told
+        effect = event.payload
         key = receiver, effect["claim"]
         highest = self.highest_epoch.get(key, 0)
         if effect["epoch"] < highest:
@@ -71,7 +71,7 @@
         self.highest_epoch[key] = max(highest, effect["epoch"])
 
     def _check_act_number(self, receiver: str, event: Event) -> Iterator[Violation]:
-        effect = event.told
+        effect = event.payload
         key = receiver, effect["on"]
         last = self.last_act.get(key, 0)
         number = effect.get("number", 0)
@@ -80,7 +80,7 @@
         self.last_act[key] = max(last, number)
 
     def _check_task_state(self, event: Event) -> Iterator[Violation]:
-        effect = event.told
+        effect = event.payload
         state = TASK_STATE.search(effect.get("text", ""))
         if effect["act"] != "putrecord" or not state or state[1] not in DRAIN_STATES:
             return
@@ -103,7 +103,7 @@
 def check_tasks(trial: TrialRecord) -> Iterator[Violation]:
     """Where the plan says so, all tasks are done by the end."""
     for event in trial.events("task"):
-        if trial.plan.holds.tasks_done and not event.told["done"]:
+        if trial.plan.holds.tasks_done and not event.payload["done"]:
             yield Violation(TASKS_CHECK, event.about, "was not done by the end")
 
 
@@ -115,7 +115,7 @@
     gaps_s: dict[str, list[float]] = defaultdict(list)
     for fault in trial.events("fault"):
         holder = fault.about.partition(">")[0]
-        kind = fault.told["kind"]
+        kind = fault.payload["kind"]
         if holder.startswith("steward-") and kind in OWNER_FAULTS:
             gaps_s[kind] += ownerless_times_s(holder, fault.at_ns, by_claim)
     for kind, gaps in gaps_s.items():
@@ -130,6 +130,6 @@
     """
     for events in by_claim.values():
         before = [event for event in events if event.at_ns <= fault_ns]
-        after = next((event for event in events[len(before) :] if event.told["holder"]), None)
-        if before and after and before[-1].told["holder"] == holder != after.told["holder"]:
+        after = next((event for event in events[len(before) :] if event.payload["holder"]), None)
+        if before and after and before[-1].payload["holder"] == holder != after.payload["holder"]:
             yield (after.at_ns - fault_ns) / S
--- a/orchidhatch/faults/invariants/policies.py
+++ b/orchidhatch/faults/invariants/policies.py
@@ -36,7 +36,7 @@
     for event in decisions:
         decided_ns.setdefault(event.about, event.at_ns)
     for event in admissions:
-        policy = event.told["policy"]
+        policy = event.payload["policy"]
         if policy != NO_POLICY and event.at_ns < decided_ns.get(policy, FAR_FUTURE_NS):
             text = f"{event.who} let it in by {policy}, which was not decided by then"
             yield Violation(POLICIES_CHECK, event.about, text)
@@ -61,20 +61,20 @@
         # What comes once a later decision may be in force is left out.
         until_ns = min(
             (
-                event.at_ns + event.told["now"]["moveMs"] * MS
+                event.at_ns + event.payload["now"]["moveMs"] * MS
                 for event in decisions
                 if event.at_ns > decision.at_ns and event.about != decision.about
             ),
             default=trial.last_ns + 1,
         )
         during = [event for event in admissions if decision.at_ns <= event.at_ns < until_ns]
-        self.first = next((event for event in during if event.told["policy"] == decision.about), None)
+        self.first = next((event for event in during if event.payload["policy"] == decision.about), None)
         self.late = [event for event in during if self._is_late(event)]
 
     def _is_late(self, event: Event) -> bool:
         if self.first is None:
             return False
-        return event.told["policy"] != self.decision.about and event.at_ns > self.first.at_ns
+        return event.payload["policy"] != self.decision.about and event.at_ns > self.first.at_ns
 
     @property
     def window_s(self) -> float:
@@ -89,7 +89,7 @@
         yield Violation(
             POLICIES_CHECK,
             last.about,
-            f"{last.who} let it in by {last.told['policy']} {self.window_s:.3f} s after "
+            f"{last.who} let it in by {last.payload['policy']} {self.window_s:.3f} s after "
             f"{self.first.who} let {self.first.about} in by {self.decision.about}",
         )
 
@@ -102,8 +102,8 @@
         return
     gateways = trial.events("door")
     for event in gateways:
-        if not event.told["alike"]:
-            text = f"does not serve by the last policy: {event.told['told']}"
+        if not event.payload["alike"]:
+            text = f"does not serve by the last policy: {event.payload['told']}"
             yield Violation(PROMISES_CHECK, event.about, text)
     if not gateways:
         yield Violation(PROMISES_CHECK, "trial", "no list service knows which policy holds in the end")
@@ -114,7 +114,7 @@
     highest = 0
     changes: set[str] = set()
     for event in trial.events("decided"):
-        decision = event.told["now"]
+        decision = event.payload["now"]
         number = decision["number"]
         change = decision["change"]
         if number <= highest or (change and change in changes):
@@ -124,7 +124,7 @@
         changes.add(change)
         if not change:
             continue  # the registry itself repeats what was decided before
-        for gateway in event.told["doors"]:
+        for gateway in event.payload["doors"]:
             is_ready = decision["digest"] in gateway.get("ready", ())
             if gateway["state"] != "absent" and not is_ready:
                 yield Violation(PROMISES_CHECK, event.about, f"decided while {gateway['name']} was not ready")
--- a/orchidhatch/faults/invariants/quotas.py
+++ b/orchidhatch/faults/invariants/quotas.py
@@ -83,6 +83,6 @@
     found: dict[tuple[str, str], list[Attempt]] = defaultdict(list)
     for attempt in trial.attempts:
         sent = trial.requests.get(attempt.request)
-        if sent and sent.told["plan"] in plans:
-            found[attempt.customer, sent.told["plan"]].append(attempt)
+        if sent and sent.payload["plan"] in plans:
+            found[attempt.customer, sent.payload["plan"]].append(attempt)
     return found
--- a/orchidhatch/faults/invariants/requests.py
+++ b/orchidhatch/faults/invariants/requests.py
@@ -91,13 +91,13 @@
 def check_repeats(trial: TrialRecord) -> Iterator[Violation]:
     """An unsafe request has one attempt that may have run; a keyed one has none after its window."""
     rejected = {
-        (event.about, event.told["backend"], event.told["port"])
+        (event.about, event.payload["backend"], event.payload["port"])
         for event in trial.events("over")
-        if event.told["how"] == "busy"
+        if event.payload["how"] == "busy"
     }
     for request, attempts in trial.attempts_of.items():
         sent = trial.requests.get(request)
-        request_class = sent.told.get("kind") if sent else None
+        request_class = sent.payload.get("kind") if sent else None
         ran = [attempt for attempt in attempts if (request, attempt.backend, attempt.port) not in rejected]
         if request_class == "settle" and len(ran) > 1:
             text = f"{len(ran)} attempts of an unsafe request may have run"
@@ -119,7 +119,7 @@
 def check_guards(trial: TrialRecord) -> Iterator[Violation]:
     """No gateway's own guard had to refuse anything."""
     for event in trial.events("guard"):
-        yield Violation(GUARDS_CHECK, event.about, f"{event.who} refused itself: {event.told['reason']}")
+        yield Violation(GUARDS_CHECK, event.about, f"{event.who} refused itself: {event.payload['reason']}")
 
 
 def check_incomplete_clients(trial: TrialRecord) -> Iterator[Violation]:
@@ -129,16 +129,16 @@
     """
     began: dict[str, Event] = {event.about: event for event in trial.events("odd")}
     for event in trial.events("odd-end"):
-        outcome = event.told["how"]
+        outcome = event.payload["how"]
         if outcome == "left" or event.about not in began:
             continue
         start_ns = began[event.about].at_ns
-        gateway = f"door-{event.told['door']}"
+        gateway = f"door-{event.payload['door']}"
         had_fault = trial.faults.overlaps(gateway, start_ns, event.at_ns, margin=FAULT_MARGIN_NS)
         is_excused = had_fault or trial.faults.overlaps(f"clients>{gateway}", start_ns, event.at_ns)
-        is_late = event.told["took_s"] > INCOMPLETE_END_S + INCOMPLETE_SLACK_S
+        is_late = event.payload["took_s"] > INCOMPLETE_END_S + INCOMPLETE_SLACK_S
         if (is_late and not is_excused) or outcome == "answered":
-            text = f"{event.told['way']}: {outcome} after {event.told['took_s']} s"
+            text = f"{event.payload['way']}: {outcome} after {event.payload['took_s']} s"
             yield Violation(INCOMPLETE_CHECK, event.about, text)
 
 
--- a/orchidhatch/faults/invariants/trial_record.py
+++ b/orchidhatch/faults/invariants/trial_record.py
@@ -18,7 +18,7 @@
         self.figures: dict[str, float] = {}
         self.last_ns = db.execute("SELECT coalesce(max(at_ns), 0) FROM events").fetchone()[0]
         begins = of(db, "begins")
-        self.start_ns = begins[0].told["start_ns"] if begins else 0
+        self.start_ns = begins[0].payload["start_ns"] if begins else 0
         self.faults = FaultIntervals(db, self.last_ns)
         self.requests = {event.about: event for event in of(db, "ask")}
         """By id, how each request was sent."""
--- a/orchidhatch/faults/plan.py
+++ b/orchidhatch/faults/plan.py
@@ -22,7 +22,7 @@
 Few = Annotated[int, Meta(ge=0, le=MOST_PROCESSES)]
 SHIM_KINDS = ("accept", "socket", "connect", "short", "disk", "wall")
 """Faults of system calls in one process: `size` is the share of the calls, of "wall" the step's seconds."""
-WAY_KINDS = ("delay", "loss", "double", "turn", "slow", "cut", "hold", "reset", "mute")
+LINK_KINDS = ("delay", "loss", "double", "turn", "slow", "cut", "hold", "reset", "mute")
 Kind = Literal[
     "kill",
     "term",
@@ -186,7 +186,7 @@
             *(["odd-clients"] if self.doors and self.load.odd_per_s else []),
         ]
 
-    def ways(self) -> list[str]:
+    def links(self) -> list[str]:
         """Every way from one process to another, each with a relay on it."""
         registries = [f"registry-{n}" for n in range(self.registries)]
         doors, agents = range(self.doors), range(max(1, self.doors))
@@ -226,7 +226,7 @@
     if any(customers.spread > plan.doors for customers in plan.load.customers):
         raise PlanError(f"{plan.name}: a set of customers is larger than the {plan.doors} doors")
     for fault in [*plan.faults, *plan.chance.draw]:
-        names = plan.ways() if fault.kind in WAY_KINDS else plan.processes()
+        names = plan.links() if fault.kind in LINK_KINDS else plan.processes()
         if not matching(fault.who, names):
             raise PlanError(f"{plan.name}: {fault.kind} names {fault.who}, and there is none")
     if plan.chance.count and not plan.chance.draw:
@@ -255,7 +255,7 @@
     """The script: each fault of a stream of its own, so that one more kind leaves the others as they were."""
     faults, chance = list(plan.faults), plan.chance
     names = {
-        draw: matching(draw.who, plan.ways() if draw.kind in WAY_KINDS else plan.processes())
+        draw: matching(draw.who, plan.links() if draw.kind in LINK_KINDS else plan.processes())
         for draw in chance.draw
     }
     for number in range(chance.count):
--- a/orchidhatch/faults/seeded_defects.py
+++ b/orchidhatch/faults/seeded_defects.py
@@ -1,6 +1,6 @@
-"""Planted defects: the real program with one function put wrong, to show that a check finds it.
+"""Seeded defects: the real program with one function made wrong, to show that a checker finds it.
 
-Each is put into the processes that its pattern names, by `orchidhatch.trial.stepped`.
+Each is put into the processes that its pattern names, by `orchidhatch.faults.stepped`.
 """
 
 import asyncio
@@ -8,10 +8,12 @@
 from typing import Any, NamedTuple
 
 
-class Plant(NamedTuple):
-    who: str  # pattern of the processes that it is put into
-    check: str  # that is to find it
-    plant: Callable[[], None]
+class SeededDefect(NamedTuple):
+    """A defect: the pattern of the processes that it is put into, the check that is to find it, and how."""
+
+    processes: str
+    check: str
+    apply: Callable[[], None]
 
 
 def ignore_drains() -> None:
@@ -217,25 +219,25 @@
     CandidateFilter.is_full = lambda self, server: False
 
 
-PLANTS = {
-    "stale-deadline": Plant("door-*", "deadlines", tell_stale_deadlines),
-    "serves-departed": Plant("door-*", "departed", serve_departed),
-    "repeats": Plant("door-*", "guards", repeat_everything),
-    "repeats-unguarded": Plant("door-*", "repeats", repeat_unguarded),
-    "waits-for-odd": Plant("door-*", "odd", wait_for_odd_clients),
-    "full-speed": Plant("door-*", "slow-start", start_at_full_speed),
-    "unready": Plant("steward-*", "promises", decide_unready),
-    "returns-old": Plant("agent-*", "policies", return_as_it_was),
-    "endless-lease": Plant("agent-*", "policies", lease_for_ever),
-    "late-decision": Plant("registry-*", "promises", decide_late),
-    "deaf-door": Plant("door-1", "promises", hear_nothing),
-    "epoch-anew": Plant("registry-*", "owners", count_anew),
-    "trusts-clock": Plant("[ar]*-*", "effects", trust_clocks),
-    "ignores-drain": Plant("door-*", "drains", ignore_drains),
-    "two-answers": Plant("door-*", "answers", answer_twice),
-    "overlap": Plant("door-*", "attempts", overlap_attempts),
-    "cap-per-door": Plant("door-*", "caps", count_caps_alone),
-    "early-ack": Plant("registry-*", "writes", acknowledge_early),
-    "goes-back": Plant("agent-*", "generations", go_back),
-    "never-looks": Plant("registry-*", "writes", look_never),
+SEEDED_DEFECTS = {
+    "stale-deadline": SeededDefect("door-*", "deadlines", tell_stale_deadlines),
+    "serves-departed": SeededDefect("door-*", "departed", serve_departed),
+    "repeats": SeededDefect("door-*", "guards", repeat_everything),
+    "repeats-unguarded": SeededDefect("door-*", "repeats", repeat_unguarded),
+    "waits-for-odd": SeededDefect("door-*", "odd", wait_for_odd_clients),
+    "full-speed": SeededDefect("door-*", "slow-start", start_at_full_speed),
+    "unready": SeededDefect("steward-*", "promises", decide_unready),
+    "returns-old": SeededDefect("agent-*", "policies", return_as_it_was),
+    "endless-lease": SeededDefect("agent-*", "policies", lease_for_ever),
+    "late-decision": SeededDefect("registry-*", "promises", decide_late),
+    "deaf-door": SeededDefect("door-1", "promises", hear_nothing),
+    "epoch-anew": SeededDefect("registry-*", "owners", count_anew),
+    "trusts-clock": SeededDefect("[ar]*-*", "effects", trust_clocks),
+    "ignores-drain": SeededDefect("door-*", "drains", ignore_drains),
+    "two-answers": SeededDefect("door-*", "answers", answer_twice),
+    "overlap": SeededDefect("door-*", "attempts", overlap_attempts),
+    "cap-per-door": SeededDefect("door-*", "caps", count_caps_alone),
+    "early-ack": SeededDefect("registry-*", "writes", acknowledge_early),
+    "goes-back": SeededDefect("agent-*", "generations", go_back),
+    "never-looks": SeededDefect("registry-*", "writes", look_never),
 }
--- a/orchidhatch/faults/stepped.py
+++ b/orchidhatch/faults/stepped.py
@@ -1,9 +1,9 @@
-"""Starts a module of the program with a wall clock that is put wrong, or with a planted defect:
+"""Starts a module of the program with a stepped wall clock, or with a seeded defect:
 
-    python -m orchidhatch.trial.stepped [--clock FILE] [--plant NAME] [--record FOLDER] MODULE [ARGUMENT ...]
+    python -m orchidhatch.faults.stepped [--clock FILE] [--plant NAME] [--record FOLDER] MODULE [ARGUMENT ...]
 
 FILE holds by how many milliseconds the wall clock is off; it is read each time, so the clock steps when it
-is written. In FOLDER a list service's fenced writes are recorded, once they are durable. The program itself
+is written. In FOLDER a registry's fenced writes are recorded, once they are durable. The program itself
 knows nothing of any of it.
 """
 
@@ -17,7 +17,7 @@
 
 from orchidhatch.control.errors import ConflictError
 from orchidhatch.faults.events import Recorder
-from orchidhatch.faults.seeded_defects import PLANTS
+from orchidhatch.faults.seeded_defects import SEEDED_DEFECTS
 
 
 def step_clock(file: Path) -> None:
@@ -78,7 +78,7 @@
 def main() -> None:
     parser = argparse.ArgumentParser(prog="orchidhatch.faults.stepped")
     parser.add_argument("--clock", type=Path)
-    parser.add_argument("--plant", choices=sorted(PLANTS))
+    parser.add_argument("--plant", choices=sorted(SEEDED_DEFECTS))
     parser.add_argument("--record", type=Path, metavar="FOLDER")
     parser.add_argument("--name", default="")
     parser.add_argument("module")
@@ -87,11 +87,11 @@
     if options.clock:
         step_clock(options.clock)
     if options.plant:
-        PLANTS[options.plant].plant()
+        SEEDED_DEFECTS[options.plant].apply()
     if options.record:
         record_effects(options.name, options.record)
     sys.argv = [options.module, *options.arguments]
-    # Not as `python -m` does it: that would run a second copy of the module, without what was planted.
+    # Not as `python -m` does it: that would run a second copy of the module, without the defect.
     sys.exit(importlib.import_module(options.module).main())
 
 
--- a/orchidhatch/faults/tap.py
+++ b/orchidhatch/faults/tap.py
@@ -1,7 +1,7 @@
-"""What the relay between an agent and its front door does to the list's watch: other addresses, and a record.
+"""What relays record of what they pass on: a gateway's watch on its agent, and its management calls.
 
-The list names each backend by an address. The front door is to reach it over a way of its own, so the address
-is replaced by one of the same length: no length in the stream changes, and neither side can tell.
+The endpoint list names each backend by an address. A gateway is to reach it over a link of its own, so the
+address is replaced by one of the same length: no length in the stream changes, and neither side can tell.
 """
 
 import json
@@ -9,73 +9,85 @@
 
 from orchidhatch.faults.events import Recorder
 
-MOST_LINE = 1 << 20
+MAX_LINE_BYTES = 1 << 20
+WATCH_EVENT_START = b'{"generation"'
 
 
-class Tap:
-    """One connection's bytes from the agent to the door."""
+class WatchTap:
+    """The bytes of one watch, from the agent to the gateway."""
 
-    def __init__(self, recorder: Recorder, door: str, listed: bytes, seen: bytes) -> None:
-        assert len(listed) == len(seen)
-        self.recorder, self.door, self.listed, self.seen = recorder, door, listed, seen
-        self.held = self.line = b""
+    def __init__(self, recorder: Recorder, gateway: str, listed: bytes, seen: bytes) -> None:
+        if len(listed) != len(seen):
+            raise ValueError("an address may only be replaced by one of the same length")
+        self.recorder = recorder
+        self.gateway = gateway
+        self.listed = listed
+        self.seen = seen
+        self.held_back = b""
+        """The last bytes, where they may be the begin of an address."""
+        self.line = b""
 
     def __call__(self, data: bytes) -> bytes:
-        data = (self.held + data).replace(self.listed, self.seen)
-        cut = len(data) - self.begun(data)
-        self.held, data = data[cut:], data[:cut]
-        self.read(data)
+        """Replace addresses, and record the events that are whole by now."""
+        data = (self.held_back + data).replace(self.listed, self.seen)
+        end = len(data) - self._begun_bytes(data)
+        self.held_back = data[end:]
+        data = data[:end]
+        self._read(data)
         return data
 
-    def begun(self, data: bytes) -> int:
-        """How many of the last bytes may be the beginning of an address."""
-        return next(
-            (size for size in range(len(self.listed) - 1, 0, -1) if data.endswith(self.listed[:size])), 0
-        )
+    def _begun_bytes(self, data: bytes) -> int:
+        """How many of the last bytes may be the begin of an address."""
+        sizes = range(len(self.listed) - 1, 0, -1)
+        return next((size for size in sizes if data.endswith(self.listed[:size])), 0)
 
-    def read(self, data: bytes) -> None:
+    def _read(self, data: bytes) -> None:
         *lines, self.line = (self.line + data).split(b"\n")
-        self.line = self.line[-MOST_LINE:]
+        self.line = self.line[-MAX_LINE_BYTES:]
         for line in lines:
-            if line.startswith(b'{"generation"'):
-                self.note(json.loads(line))
+            if line.startswith(WATCH_EVENT_START):
+                self._record(json.loads(line))
 
-    def note(self, news: dict[str, object]) -> None:
+    def _record(self, event: dict[str, object]) -> None:
         states: dict[str, list[str]] = {}
-        for entry in news["instances"]:
+        for entry in event["instances"]:
             states.setdefault(entry["lifecycle"], []).append(entry["instanceId"])
         self.recorder.note(
-            "news", self.door, generation=news["generation"], reset=news["reset"], states=states
+            "news", self.gateway, generation=event["generation"], reset=event["reset"], states=states
         )
 
 
-def tapping(recorder: Recorder, door: str, listed: str, seen: str) -> Callable[[], Tap]:
-    return lambda: Tap(recorder, door, listed.encode(), seen.encode())
+def observe_watch(recorder: Recorder, gateway: str, listed: str, seen: str) -> Callable[[], WatchTap]:
+    """Makes what observes a gateway's watches, with `listed` replaced by `seen` in addresses."""
+    return lambda: WatchTap(recorder, gateway, listed.encode(), seen.encode())
 
 
-class Sight:
-    """One connection's bytes to a door's management: the call, and in whose name it is made."""
+class CallTap:
+    """The bytes of one management call to a gateway: the call, and the claim that it is made under."""
 
-    def __init__(self, recorder: Recorder, door: str) -> None:
-        self.recorder, self.door = recorder, door
-        self.head: bytes | None = b""  # None once it was read
+    def __init__(self, recorder: Recorder, gateway: str) -> None:
+        self.recorder = recorder
+        self.gateway = gateway
+        self.head = b""
+        self.is_read = False
 
     def __call__(self, data: bytes) -> bytes:
-        if self.head is not None:
+        """Record the call once its head is whole; the bytes are passed on as they are."""
+        if not self.is_read:
             self.head += data
-            if b"\r\n\r\n" in self.head or len(self.head) > MOST_LINE:
-                self.read(self.head.decode(errors="replace").split("\r\n"))
-                self.head = None
+            if b"\r\n\r\n" in self.head or len(self.head) > MAX_LINE_BYTES:
+                self._record(self.head.decode(errors="replace").split("\r\n"))
+                self.is_read = True
         return data
 
-    def read(self, lines: list[str]) -> None:
+    def _record(self, lines: list[str]) -> None:
         headers = {name.lower(): value for name, _, value in (line.partition(": ") for line in lines[1:])}
         claim, _, numbers = headers.get("orchidhatch-claim", "").partition(" ")
         epoch, _, number = numbers.partition(" ")
         if epoch.isdigit() and number.isdigit():
             self.recorder.note(
                 "effect",
-                self.door,
+                self.gateway,
                 claim=claim,
                 epoch=int(epoch),
                 act=lines[0],
@@ -84,5 +96,6 @@
             )
 
 
-def seeing(recorder: Recorder, door: str) -> Callable[[], Sight]:
-    return lambda: Sight(recorder, door)
+def observe_calls(recorder: Recorder, gateway: str) -> Callable[[], CallTap]:
+    """Makes what observes the management calls to a gateway."""
+    return lambda: CallTap(recorder, gateway)
--- a/tests/faults/test_request_checkers.py
+++ b/tests/faults/test_request_invariants.py
@@ -1,4 +1,4 @@
-"""The invariants of single requests, on events made by hand: each finds its break, and excuses faults."""
+"""The invariants of single requests, on events made by hand: each finds its violation, and excuses faults."""
 
 from pathlib import Path
 from typing import Any
@@ -104,28 +104,28 @@
         (crowd(40, 30), "slow-start"),
     ],
 )
-def test_a_check_finds_its_break_and_excuses_what_a_fault_did(
+def test_check_finds_its_violation_and_excuses_faults(
     tmp_path: Path, events: list[Told], broken: str
 ) -> None:
     found = {one.check for one in verdict_of(tmp_path, events).violations}
     assert found == ({broken} if broken else set())
 
 
-def test_margin_of_the_slow_start_budget_is_that_of_the_page() -> None:
+def test_slow_start_budget_has_the_stated_margin() -> None:
     assert budget_with_margin(25.0) == 25 + 3 * 5 + 3
     assert budget_with_margin(100.0) == 100 + 2 * 10 + 2
 
 
-def test_a_guards_line_in_a_gateways_log_is_an_event(tmp_path: Path) -> None:
+def test_guard_line_in_a_log_is_an_event(tmp_path: Path) -> None:
     path = tmp_path / "log"
     path.write_text(
         "2026 ERROR x: guard refused reason=past_deadline request=abc at 12 us attempt=0\nother\n"
     )
     [event] = read_log("door-1", path)
     assert (event.at_ns, event.who, event.what, event.about) == (12_000, "door-1", "guard", "abc")
-    assert event.told == {"reason": "past_deadline"}
+    assert event.payload == {"reason": "past_deadline"}
 
 
-def test_lack_of_a_compiler_is_told(tmp_path: Path) -> None:
+def test_lack_of_a_compiler_is_reported(tmp_path: Path) -> None:
     verdict = verdict_of(tmp_path, [(1, "trial", "shim", "trial", {"built": False})])
     assert verdict.skipped == ["no C compiler here: no system call was made to fail"]
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -25,19 +25,13 @@
         "proxy/start_times.py",
         "faults/backend.py",
         "faults/cli.py",
-        "faults/events.py",
-        "faults/fleet.py",
         "faults/launch.py",
-        "faults/links.py",
         "faults/load.py",
         "faults/odd_clients.py",
         "faults/plan.py",
         "faults/processes.py",
-        "faults/runner.py",
-        "faults/seeded_defects.py",
         "faults/stepped.py",
         "faults/system_calls.py",
-        "faults/tap.py",
     )
 )
 # Parts of names that were withdrawn. Names that a wire or a file fixes stand in strings, not read here.
