--- a/tests/proxy/test_management.py
+++ b/tests/proxy/test_management.py
@@ -63,13 +63,13 @@
 async def test_head_and_body_are_bounded() -> None:
     async with operated(Backend()) as (gateway, _):
         assert (await call(gateway, "GET /stats", f"X: {'x' * 9000}"))[0] == 431
-        for size, status in ((3, 200), (management.MOST_BODY + 1, 413)):
+        for size, status in ((3, 200), (management.MAX_BODY_BYTES + 1, 413)):
             more = f"Host: x\r\nContent-Length: {size}\r\n\r\n{'x' * size}"
             assert (await call(gateway, "POST /backends/s0/maint", more))[0] == status
 
 
-async def test_slow_callers_crowd_out_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(management, "MOST_CONNECTIONS", 4)
+async def test_slow_callers_do_not_block_others(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(management, "MAX_CONNECTIONS", 4)
 
     async with operated(Backend()) as (gateway, _):
         slow = [await asyncio.open_connection(*at(gateway)) for _ in range(8)]
@@ -83,8 +83,8 @@
             writer.close()
 
 
-async def test_whole_call_must_come_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(management, "PATIENCE_S", 0.05)
+async def test_incomplete_call_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(management, "CALL_TIMEOUT_S", 0.05)
 
     async with operated(Backend()) as (gateway, _):
         reader, writer = await asyncio.open_connection(*at(gateway))
@@ -97,7 +97,7 @@
     assert 'proxy_errored_total{group="a\\"\\\\\\n"} 0\n' in Figures(['a"\\\n']).text()
 
 
-async def test_figures_count_since_the_start() -> None:
+async def test_counters_count_since_the_start() -> None:
     answers = {b"a1": value(b"ok"), b"a2": b"-BUSY\r\n", b"a3": b"-ERR failed\r\n"}
 
     backend = Backend(lambda words: answers.get(words[2]))
@@ -123,7 +123,7 @@
         assert found["proxy_cluster_size"] == 1 and found['proxy_answered_total{group="book"}'] == 0
 
 
-async def test_backend_left_out_gets_nothing_until_taken_back() -> None:
+async def test_ejected_backend_gets_nothing_until_readmitted() -> None:
     backends = [Backend(), Backend()]
     async with operated(*backends) as (gateway, address):
         client = await Client.open(address)
@@ -140,16 +140,16 @@
             number += 1
 
 
-async def test_backend_left_out_loses_what_waits_for_a_connection() -> None:
+async def test_ejected_backend_loses_waiting_attempts() -> None:
     backend = Backend()
     async with operated(backend) as (gateway, address):
         client = await Client.open(address)
         client.send(query("a1"))
         pool = gateway.backends.pools["s0"]
-        while not pool.waiting:
+        while not pool.waiting_attempts:
             await asyncio.sleep(0)
         gateway.management_handlers.begin_maintenance("s0")
-        assert not pool.waiting
+        assert not pool.waiting_attempts
         client.writer.close()
         while pool.connecting or pool.connections:
             await asyncio.sleep(0.01)
@@ -177,7 +177,7 @@
         assert await again.ask(query("a4")) == b"ok"
 
 
-async def test_nothing_calls_back_a_program_that_ends() -> None:
+async def test_ending_process_cannot_be_called_back() -> None:
     async with operated(Backend()) as (gateway, address):
         client = await Client.open(address)
         drain = asyncio.create_task(gateway.drain())
