--- a/orchidhatch/gateway/attempt_control.py
+++ b/orchidhatch/gateway/attempt_control.py
@@ -76,8 +76,8 @@
     def free_attempt(self, request: InFlightRequest, event: AttemptEnded) -> None:
         """Take an ended attempt off its customer and server, and learn from its end.
 
-        An attempt whose answer was streamed was taken off its server when the stream began, and only its
-        failure is news.
+        One with a streamed answer was taken off its server when the stream began; only its failure is learnt
+        here, as its success was learnt then.
         """
         server = request.servers[event.attempt]
         request.customer.attempt_ended()
--- a/orchidhatch/gateway/candidates.py
+++ b/orchidhatch/gateway/candidates.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Sequence
 
 from orchidhatch.gateway.connection_affinity import ConnectionAffinity
-from orchidhatch.gateway.constants import LEAST_OUT, START_PER_SERVER
+from orchidhatch.gateway.constants import ATTEMPTS_PER_SERVER, MIN_IN_FLIGHT_LIMIT
 from orchidhatch.gateway.decision_context import DecisionContext
 from orchidhatch.gateway.in_flight import InFlightRequest
 from orchidhatch.gateway.outlier_detection import OutlierDetector
@@ -42,7 +42,9 @@
         self.outliers = outliers
         self.slow_start = slow_start
         # Attempts that this gateway may have in flight at one server.
-        self.max_in_flight = max(LEAST_OUT, 2 * START_PER_SERVER // context.settings.gateway_count)
+        self.max_in_flight = max(
+            MIN_IN_FLIGHT_LIMIT, 2 * ATTEMPTS_PER_SERVER // context.settings.gateway_count
+        )
 
     def candidates(self, request: InFlightRequest) -> Sequence[ServerRecord]:
         """The servers that an attempt of the request may go to, in the order of the list."""
--- a/orchidhatch/gateway/constants.py
+++ b/orchidhatch/gateway/constants.py
@@ -1,9 +1,20 @@
-"""The units and figures that more than one component of the decision core goes by."""
+"""Constants that several components of the decision core share."""
 
 from orchidhatch.gateway.times import S
 
-TICK_US = 20_000  # how often held requests and words are looked at: well under any aim
-CC_PERIOD_US, MOST_PERIODS = S, 2  # the Call Control Period, and how many of them an OPPUI may be
-# For each ready server, by all gateways: attempts a second when the cap engages, and out at once ever.
-START_PER_SERVER, LEAST_OUT = 8, 2  # the second: for one gateway in any case
-SMOOTH = 0.1  # weight of a new latency in a running mean
+TICK_US = 20_000
+"""How often queued requests are looked at: a small part of any latency objective."""
+
+CALL_CONTROL_PERIOD_US = S
+"""CCperiod, of which a control period has one or more (Somoza, section 2)."""
+
+MAX_CALL_CONTROL_PERIODS = 2
+"""Call control periods that a control period may have."""
+
+MAX_CONTROL_PERIOD_US = MAX_CALL_CONTROL_PERIODS * CALL_CONTROL_PERIOD_US
+
+ATTEMPTS_PER_SERVER = 8
+"""Attempts of all gateways per usable server: in flight at most, and admitted a second when N engages."""
+
+MIN_IN_FLIGHT_LIMIT = 2
+"""A gateway's limit of attempts in flight is never lower, however many gateways share the servers."""
--- a/orchidhatch/gateway/overload.py
+++ b/orchidhatch/gateway/overload.py
@@ -10,7 +10,13 @@
 from dataclasses import dataclass
 from enum import Enum, auto
 
-from orchidhatch.gateway.constants import CC_PERIOD_US, LEAST_OUT, MOST_PERIODS, START_PER_SERVER, TICK_US
+from orchidhatch.gateway.constants import (
+    ATTEMPTS_PER_SERVER,
+    CALL_CONTROL_PERIOD_US,
+    MAX_CALL_CONTROL_PERIODS,
+    MIN_IN_FLIGHT_LIMIT,
+    TICK_US,
+)
 from orchidhatch.gateway.decision_context import DecisionContext
 from orchidhatch.gateway.times import S
 
@@ -33,7 +39,7 @@
 """min.fraction.calls: at a lower fraction of N, and below min.occup, N is not updated."""
 
 ROUNDING_TOLERANCE = 1e-9
-"""What a limit that is whole but for floating-point error may lack."""
+"""Floating-point error that N may have where it is an integer."""
 
 
 class OccupancySignal(Enum):
@@ -82,7 +88,7 @@
         self.in_flight = 0
         self.admitted = 0
         self.period_start_us = -1
-        self.period_length_us = CC_PERIOD_US
+        self.period_length_us = CALL_CONTROL_PERIOD_US
         self.rate = 0.0
         self.samples: dict[OccupancySignal, list[float]] = no_samples()
 
@@ -99,7 +105,7 @@
         elapsed_us = self.context.now_us - self.period_start_us + TICK_US
         elapsed = min(1.0, elapsed_us / self.period_length_us)
         gateways = self.context.settings.gateway_count
-        max_in_flight = max(LEAST_OUT, round(START_PER_SERVER * warm_servers / gateways))
+        max_in_flight = max(MIN_IN_FLIGHT_LIMIT, round(ATTEMPTS_PER_SERVER * warm_servers / gateways))
         if self.in_flight >= max_in_flight:
             return False
         return self.n_past is None or self.admitted < math.ceil(self.limit * elapsed)
@@ -118,8 +124,8 @@
         """
         self.update(self.admitted, servers, overdue_ages)
         last_length_us = self.period_length_us
-        periods = min(MOST_PERIODS, round(ADMISSIONS_PER_PERIOD / max(1.0, self.rate)))
-        self.period_length_us = CC_PERIOD_US * max(1, periods)
+        periods = min(MAX_CALL_CONTROL_PERIODS, round(ADMISSIONS_PER_PERIOD / max(1.0, self.rate)))
+        self.period_length_us = CALL_CONTROL_PERIOD_US * max(1, periods)
         if self.n_past is not None:
             self.n_past *= self.period_length_us / last_length_us
             self.round_limit(self.n_past)
@@ -173,7 +179,7 @@
     def first_limit(self, na_past: float, servers: int) -> float:
         """N of this gateway when it engages: a few attempts per server, but no less than were admitted."""
         gateways = self.context.settings.gateway_count
-        attempts = START_PER_SERVER * servers * self.period_length_us // S // gateways
+        attempts = ATTEMPTS_PER_SERVER * servers * self.period_length_us // S // gateways
         return max(1, attempts, round(na_past))
 
 
--- a/orchidhatch/gateway/peer_outbox.py
+++ b/orchidhatch/gateway/peer_outbox.py
@@ -4,7 +4,7 @@
 from collections import Counter, deque
 
 from orchidhatch.gateway.actions import SendGossip
-from orchidhatch.gateway.constants import CC_PERIOD_US, MOST_PERIODS
+from orchidhatch.gateway.constants import MAX_CONTROL_PERIOD_US
 from orchidhatch.gateway.decision_context import DecisionContext
 from orchidhatch.gateway.gossip import AttemptObservation, GossipMessage
 from orchidhatch.gateway.quota import ASK_US
@@ -73,5 +73,5 @@
         return tuple(
             seen
             for at, seen in itertools.islice(self.observations, first, None)
-            if self.context.now_us - at < MOST_PERIODS * CC_PERIOD_US
+            if self.context.now_us - at < MAX_CONTROL_PERIOD_US
         )
--- a/orchidhatch/gateway/retry_after.py
+++ b/orchidhatch/gateway/retry_after.py
@@ -21,8 +21,8 @@
     def delay_us(self, request: InFlightRequest, reason: EndReason) -> int:
         """The delay in microseconds, at most the settings' `max_retry_after_us`.
 
-        It is the expected wait for capacity and up to once more by chance, as clients that were rejected
-        together would else come back together. It is never less: a retry before that gains nothing.
+        It is one to two times the expected wait for capacity, at random, as clients that were rejected
+        together would else retry together. It is never less: a retry before that gains nothing.
         """
         max_us = self.context.settings.max_retry_after_us
         return round(min(max_us, self.capacity_wait_us(request, reason) * (1 + self.context.random.random())))
--- a/tests/gateway/test_peer_outbox.py
+++ b/tests/gateway/test_peer_outbox.py
@@ -5,7 +5,7 @@
 import pytest
 
 from orchidhatch.gateway.actions import SendGossip
-from orchidhatch.gateway.constants import CC_PERIOD_US, MOST_PERIODS
+from orchidhatch.gateway.constants import MAX_CONTROL_PERIOD_US
 from orchidhatch.gateway.decision_context import DecisionContext
 from orchidhatch.gateway.gossip import AttemptObservation, GossipMessage
 from orchidhatch.gateway.peer_outbox import BURST_MESSAGES, MESSAGES_LIMIT, PeerOutbox
@@ -94,7 +94,7 @@
 
 def test_an_observation_older_than_the_longest_period_is_not_sent(outbox: PeerOutbox) -> None:
     outbox.add_observation(observation(1))
-    outbox.context.now_us = MOST_PERIODS * CC_PERIOD_US
+    outbox.context.now_us = MAX_CONTROL_PERIOD_US
     outbox.add_observation(observation(2))
     outbox.add(PEER, WORD)
     assert [message.observations for message in sent(outbox)] == [(observation(2),)]
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -13,7 +13,6 @@
 # Modules that are not in the field's terms yet, one a line: finishing a module takes its line out.
 UNFINISHED = frozenset(
     (
-        "gateway/constants.py",
         "gateway/peer_outbox.py",
         "gateway/quota.py",
         "gateway/quota_leaders.py",
