--- a/tests/gateway/test_attempt_control.py
+++ b/tests/gateway/test_attempt_control.py
@@ -5,7 +5,8 @@
 from orchidhatch.gateway.actions import Fail, Reject, SendAttempt
 from orchidhatch.gateway.attempts import AttemptResult
 from orchidhatch.gateway.events import StreamStarted
-from tests.helpers import KEYED, SAFE, UNSAFE, S, World, of, with_class
+from orchidhatch.gateway.settings import Plan
+from tests.helpers import KEYED, SAFE, SETTINGS, UNSAFE, S, World, of, with_class
 
 
 def test_unsafe_request_is_retried_only_if_it_never_ran() -> None:
@@ -31,3 +32,16 @@
     world.ask("a")
     assert world.tell(StreamStarted("a", 0, world.out[("a", 0)][0], 5)) == []
     assert of(Reject, world.answer("a", AttemptResult.RESET)) == []
+
+
+def test_unsent_first_attempt_refunds_quota_and_ceiling() -> None:
+    plan = Plan(rate=10.0, burst=20.0, ceiling_rate=10.0, ceiling_burst=20.0)
+    world = World(replace(SETTINGS, plans=(plan,)))
+    world.run(5 * S)
+    world.ask("a", units=3.0)
+    [customer] = world.gateway.quotas.customers.values()
+    local_share = customer.quota.local_share
+    ceiling = customer.ceiling.units
+    world.answer("a", AttemptResult.NOT_SENT)
+    assert customer.quota.local_share == local_share + 3.0
+    assert customer.ceiling.units == ceiling + 3.0
