--- a/orchidhatch/gateway/admission.py
+++ b/orchidhatch/gateway/admission.py
@@ -121,7 +121,7 @@
     def may_exceed_quota(self, customer: Customer) -> bool:
         """Whether the plan gains by requests beyond its quota, and no overload limits admission."""
         plan = customer.plan
-        return plan.over_quota_weight > plan.over_quota_cost and self.overload.n_past is None
+        return plan.over_quota_weight > plan.over_quota_cost and self.overload.admission_limit is None
 
     # --- requests that await a grant ---
 
--- a/orchidhatch/gateway/attempt_sender.py
+++ b/orchidhatch/gateway/attempt_sender.py
@@ -35,7 +35,7 @@
         number = len(request.servers)
         is_first = number == 0
         if is_first:
-            self.overload.admitted += 1
+            self.overload.admitted_this_period += 1
             self.retries.earn()
             customer.charge_ceiling(request.units)
         request.servers.append(server)
--- a/orchidhatch/gateway/handover.py
+++ b/orchidhatch/gateway/handover.py
@@ -103,7 +103,7 @@
         customer.attempt_began()
         self.overload.in_flight += 1
         if event.units > 0:
-            self.overload.admitted += 1
+            self.overload.admitted_this_period += 1
         if server:
             self.balancer.attempt_began(server, name, event.sent_us)
             server.credit -= 1
--- a/orchidhatch/gateway/handover_state.py
+++ b/orchidhatch/gateway/handover_state.py
@@ -35,8 +35,8 @@
 def snapshot_overload(overload: OverloadController, balancer: LoadBalancer) -> OverloadSnapshot:
     """Return the overload controller's state, with the usual rate that slow start goes by."""
     return OverloadSnapshot(
-        admission_limit=overload.n_past or 0,
-        admitted=overload.admitted,
+        admission_limit=overload.admission_limit or 0,
+        admitted=overload.admitted_this_period,
         period_start_us=overload.period_start_us,
         period_length_us=overload.period_length_us,
         overhead=overload.overhead,
@@ -61,9 +61,9 @@
 
 def restore_overload(overload: OverloadController, snapshot: OverloadSnapshot) -> None:
     """Put the overload controller into the state of the snapshot."""
-    overload.n_past = snapshot.admission_limit or None
-    overload.limit = math.floor(snapshot.admission_limit)
-    overload.admitted = snapshot.admitted
+    overload.admission_limit = snapshot.admission_limit or None
+    overload.period_limit = math.floor(snapshot.admission_limit)
+    overload.admitted_this_period = snapshot.admitted
     overload.period_start_us = snapshot.period_start_us
     overload.period_length_us = snapshot.period_length_us
     overload.overhead = snapshot.overhead
--- a/orchidhatch/gateway/metrics.py
+++ b/orchidhatch/gateway/metrics.py
@@ -71,7 +71,7 @@
 
     def limit_text(self) -> str:
         """The admission limit and the length of its period."""
-        limit = self.overload.n_past
+        limit = self.overload.admission_limit
         return "lifted" if limit is None else f"{limit:.1f}/{self.overload.period_length_us // S}s"
 
     def queued_text(self) -> str:
--- a/orchidhatch/gateway/overload.py
+++ b/orchidhatch/gateway/overload.py
@@ -72,21 +72,21 @@
 class OverloadController:
     """Limits first attempts per control period, and attempts in flight at all times.
 
-    `n_past` is this gateway's share of N before it is rounded, None while N is lifted; `limit` is what holds
-    in this period. `occupancy` is the last one inferred, `overhead` the lowest in light traffic, both as
-    fractions; `rate` is the mean number of admissions a second.
+    `admission_limit` is this gateway's share of N before it is rounded, None while N is lifted,
+    `period_limit` the limit of this period. `occupancy` is the last one inferred, `overhead` the lowest in
+    light traffic, both as fractions; `rate` is the mean number of admissions a second.
     """
 
     def __init__(self, context: DecisionContext) -> None:
         self.context = context
-        self.n_past: float | None = None
-        self.limit = 0
+        self.admission_limit: float | None = None
+        self.period_limit = 0
         # What rounding down has left for the next period; gateways start with different remainders.
         self.limit_remainder = context.random.random()
         self.occupancy = 0.0
         self.overhead = 1.0
         self.in_flight = 0
-        self.admitted = 0
+        self.admitted_this_period = 0
         self.period_start_us = -1
         self.period_length_us = CALL_CONTROL_PERIOD_US
         self.rate = 0.0
@@ -96,7 +96,7 @@
         """Count a sample of the occupancy in this period."""
         self.samples[signal].append(occupancy)
 
-    def allowance(self, warm_servers: float) -> bool:
+    def may_admit(self, warm_servers: float) -> bool:
         """Whether one more first attempt may be sent now; a server in slow start counts as its warm part.
 
         Admissions are spread over the period. Attempts in flight are limited without N too, as servers that
@@ -108,12 +108,14 @@
         max_in_flight = max(MIN_IN_FLIGHT_LIMIT, round(ATTEMPTS_PER_SERVER * warm_servers / gateways))
         if self.in_flight >= max_in_flight:
             return False
-        return self.n_past is None or self.admitted < math.ceil(self.limit * elapsed)
+        if self.admission_limit is None:
+            return True
+        return self.admitted_this_period < math.ceil(self.period_limit * elapsed)
 
     def end_period(self) -> None:
         """End the control period, and count its admissions into the rate."""
         self.period_start_us += self.period_length_us
-        period_rate = self.admitted * S / self.period_length_us
+        period_rate = self.admitted_this_period * S / self.period_length_us
         weight = RATE_SMOOTHING if self.rate else 1
         self.rate += weight * (period_rate - self.rate)
 
@@ -122,14 +124,14 @@
 
         `servers` is the number that may be sent new work, `overdue_ages` what `update` takes.
         """
-        self.update(self.admitted, servers, overdue_ages)
+        self.update(self.admitted_this_period, servers, overdue_ages)
         last_length_us = self.period_length_us
         periods = min(MAX_CALL_CONTROL_PERIODS, round(ADMISSIONS_PER_PERIOD / max(1.0, self.rate)))
         self.period_length_us = CALL_CONTROL_PERIOD_US * max(1, periods)
-        if self.n_past is not None:
-            self.n_past *= self.period_length_us / last_length_us
-            self.round_limit(self.n_past)
-        self.admitted = 0
+        if self.admission_limit is not None:
+            self.admission_limit *= self.period_length_us / last_length_us
+            self.round_limit(self.admission_limit)
+        self.admitted_this_period = 0
 
     def round_limit(self, n: float) -> None:
         """Round N down for the next period, and keep the remainder for the one after (section 2, step 3).
@@ -137,8 +139,8 @@
         The share of one gateway of many is small: without the remainder, rounding alone would decide it.
         """
         with_remainder = n + self.limit_remainder
-        self.limit = math.floor(with_remainder)
-        self.limit_remainder = with_remainder - self.limit
+        self.period_limit = math.floor(with_remainder)
+        self.limit_remainder = with_remainder - self.period_limit
 
     def update(self, na_past: float, servers: int, overdue_ages: Callable[[], Iterable[float]]) -> None:
         """Update N, lift it in light traffic, or engage it (section 2; DESIGN, signal).
@@ -160,21 +162,23 @@
         self.occupancy = occup_past
         if occup_past < targets.min_occup and self.has_few_admissions(na_past):
             self.overhead = min(self.overhead, occup_past)
-            self.n_past = None
+            self.admission_limit = None
             return
         # N is that of all gateways, so that rounding it down matters less.
         gateways = self.context.settings.gateway_count
         seconds = self.period_length_us / S
-        n_past = self.first_limit(na_past, servers) if self.n_past is None else self.n_past
+        n_past = self.admission_limit
+        if n_past is None:
+            n_past = self.first_limit(na_past, servers)
         overhead = min(self.overhead, targets.min_occup / 2)
         n_of_all = next_n(
             round(n_past * gateways), na_past * gateways, occup_past, overhead, targets, seconds
         )
-        self.n_past = n_of_all / gateways
+        self.admission_limit = n_of_all / gateways
 
     def has_few_admissions(self, na_past: float) -> bool:
         """Whether fewer were admitted than the fraction of N at which N is of use."""
-        return self.n_past is None or na_past < MIN_FRACTION_CALLS * self.n_past
+        return self.admission_limit is None or na_past < MIN_FRACTION_CALLS * self.admission_limit
 
     def first_limit(self, na_past: float, servers: int) -> float:
         """N of this gateway when it engages: a few attempts per server, but no less than were admitted."""
--- a/orchidhatch/gateway/request_queue.py
+++ b/orchidhatch/gateway/request_queue.py
@@ -76,7 +76,7 @@
 
     def has_admission_capacity(self) -> bool:
         """Whether overload control admits one more first attempt now."""
-        return self.overload.allowance(self.balancer.warm)
+        return self.overload.may_admit(self.balancer.warm)
 
     def dequeue(self) -> None:
         """Send what may be sent now, in order."""
--- a/orchidhatch/gateway/retry_after.py
+++ b/orchidhatch/gateway/retry_after.py
@@ -30,7 +30,7 @@
     def capacity_wait_us(self, request: InFlightRequest, reason: EndReason) -> float:
         """In how long there should be capacity for what the request lacked; NEVER if none is in sight."""
         customer = request.customer
-        if self.overload.n_past is not None:  # Requests queue for the admission limit already.
+        if self.overload.admission_limit is not None:  # Requests queue for the admission limit already.
             return NEVER
         if reason is RejectionReason.TOO_MANY_OPEN_REQUESTS:
             return self.balancer.mean_us[request.class_index]
--- a/tests/gateway/test_overload.py
+++ b/tests/gateway/test_overload.py
@@ -37,12 +37,13 @@
 
 def test_limit_engages_spreads_admissions_and_is_lifted() -> None:
     world = loaded_world(0.9)
-    assert world.gateway.overload.n_past == 20.5  # (0.92 - 0.1) / (0.9 - 0.1) times the 20 that were sent
+    overload = world.gateway.overload
+    assert overload.admission_limit == 20.5  # (0.92 - 0.1) / (0.9 - 0.1) times the 20 that were sent
     for n in range(150):
         world.ask(f"r{n}", customer=f"c{n}")
-    world.run(world.gateway.overload.period_start_us + S - world.now)
+    world.run(overload.period_start_us + S - world.now)
     start = world.now
-    limit = world.gateway.overload.limit
+    limit = overload.period_limit
     for _ in range(99):
         for name, attempt in list(world.out):
             world.answer(name, attempt=attempt)
@@ -50,9 +51,9 @@
     sends = [at for at, action in world.log if isinstance(action, SendAttempt) and at >= start]
     assert len(sends) == limit
     assert sends[-1] - sends[0] > 0.8 * S
-    light = loaded_world(0.3)
-    assert light.gateway.overload.n_past is None
-    assert light.gateway.overload.overhead == pytest.approx(0.3)
+    light = loaded_world(0.3).gateway.overload
+    assert light.admission_limit is None
+    assert light.overhead == pytest.approx(0.3)
 
 
 def test_period_is_longer_at_a_low_rate() -> None:
@@ -64,7 +65,7 @@
         for name, attempt in list(world.out):
             world.answer(name, attempt=attempt, report=LoadReport(util=0.9))
     assert world.gateway.overload.period_length_us == 2 * S
-    assert 4 <= world.gateway.overload.n_past <= 12
+    assert 4 <= world.gateway.overload.admission_limit <= 12
     assert next_n(10, 1, 0.99, 0.1, UTIL, 4.0) == 4  # steps by the second: 10 * 0.9 ** 8
     assert next_n(10, 10, 0.2, 0.3, UTIL, 4.0) == 20
 
@@ -77,7 +78,8 @@
         world.run(10 * MS)
         for name, attempt in list(world.out):
             world.answer(name, attempt=attempt, report=LoadReport(util=0.3))
-    assert world.gateway.overload.n_past == 24.5  # the largest step from 20.5, to a half: of two gateways
+    overload = world.gateway.overload
+    assert overload.admission_limit == 24.5  # the largest step from 20.5, to a half: of two gateways
 
 
 def test_attempts_in_flight_are_limited_without_n() -> None:
@@ -89,7 +91,7 @@
     for world in worlds:
         for n in range(200):
             world.ask(f"r{n}")
-        assert world.gateway.overload.n_past is None
+        assert world.gateway.overload.admission_limit is None
     assert sum(len(world.out) for world in worlds) == 80  # 8 for each of 10
     worlds[0].answer("r0")
     worlds[0].run(20 * MS)
@@ -102,26 +104,27 @@
     for n in range(20):
         world.ask(f"r{n}")
     world.run(1100 * MS)
-    assert world.gateway.overload.n_past is not None
+    assert world.gateway.overload.admission_limit is not None
 
 
 def test_small_limit_is_not_decided_by_rounding() -> None:
     """Forty gateways with N near two each: a fifth more a period is lost if each rounds its share down."""
     world = World(replace(SETTINGS, plans=(Plan(),), gateway_count=40))
     gateway = world.gateway
-    gateway.overload.n_past = 2.0
-    gateway.overload.limit = 2
-    gateway.overload.samples[OccupancySignal.LATENCY] = [0.2] * 9  # light, but all of N is used
-    gateway.overload.admitted = 2
+    overload = gateway.overload
+    overload.admission_limit = 2.0
+    overload.period_limit = 2
+    overload.samples[OccupancySignal.LATENCY] = [0.2] * 9  # light, but all of N is used
+    overload.admitted_this_period = 2
     gateway.end_period()
-    assert gateway.overload.n_past * S / gateway.overload.period_length_us == pytest.approx(2.4, abs=0.03)
+    assert overload.admission_limit * S / overload.period_length_us == pytest.approx(2.4, abs=0.03)
     admissions = 0
-    gateway.overload.n_past = 0.25
-    gateway.overload.samples = no_samples()
+    overload.admission_limit = 0.25
+    overload.samples = no_samples()
     for _ in range(40):
         gateway.end_period()
-        gateway.overload.n_past = 0.25
-        admissions += gateway.overload.limit
+        overload.admission_limit = 0.25
+        admissions += overload.period_limit
     assert 9 <= admissions <= 11
 
 
@@ -134,7 +137,7 @@
         world.tell(PeerMessage(n + 1, (GossipMessage(n, 0, 0, 5),), seen))
     world.gateway.overload.samples[OccupancySignal.LATENCY] += [0.9, 0.9]
     world.gateway.end_period()
-    assert world.gateway.overload.n_past is None
+    assert world.gateway.overload.admission_limit is None
     assert world.gateway.overload.occupancy == pytest.approx((60 * 0.1 + 2 * 0.9) / 62)
 
 
--- a/tests/gateway/test_retry_after.py
+++ b/tests/gateway/test_retry_after.py
@@ -21,7 +21,7 @@
     world.run(3 * S)  # that demand has aged
     assert not delays_us(world.ask("b"))
     request = world.gateway.requests.by_id["b"]
-    world.gateway.overload.n_past = None  # engaged, as no attempt was answered
+    world.gateway.overload.admission_limit = None  # engaged, as no attempt was answered
     request.customer.demand.units = 1.0
     request.customer.quota.set_level = 0.4
     delays = [world.gateway.retry_after.delay_us(request, RejectionReason.OVER_QUOTA) for _ in range(20)]
@@ -50,7 +50,7 @@
     request = gateway.requests.by_id["a"]
     delay_us = gateway.retry_after.delay_us(request, AttemptResult.TIMEOUT)
     assert delay_us <= 2 * gateway.overload.period_length_us
-    gateway.overload.n_past = 10.0
+    gateway.overload.admission_limit = 10.0
     assert gateway.retry_after.delay_us(request, AttemptResult.TIMEOUT) == 2 * S
 
 
