--- a/tests/gateway/test_attempt_control.py
+++ b/tests/gateway/test_attempt_control.py
@@ -45,3 +45,16 @@
     world.answer("a", AttemptResult.NOT_SENT)
     assert customer.quota.local_share == local_share + 3.0
     assert customer.ceiling.units == ceiling + 3.0
+
+
+def test_streamed_attempt_is_learnt_again_only_if_it_fails() -> None:
+    world = World(with_class(replace(SAFE, streamed=True)))
+    outbox = world.gateway.outbox
+    for name in ("served", "reset"):
+        world.ask(name)
+        world.tell(StreamStarted(name, 0, world.out[(name, 0)][0], 5))
+    assert len(outbox.observations) == 2
+    world.answer("served")
+    assert len(outbox.observations) == 2
+    world.answer("reset", AttemptResult.RESET)
+    assert len(outbox.observations) == 3
--- a/tests/gateway/test_request_queue.py
+++ b/tests/gateway/test_request_queue.py
@@ -7,8 +7,8 @@
 from orchidhatch.gateway.actions import Reject, SendAttempt
 from orchidhatch.gateway.in_flight import InFlightRequest
 from orchidhatch.gateway.server_record import ServerRecord
-from orchidhatch.gateway.settings import Plan
-from tests.helpers import MS, SETTINGS, S, World, loaded_world, of
+from orchidhatch.gateway.settings import Plan, RequestClass
+from tests.helpers import MS, SETTINGS, S, World, loaded_world, of, with_class
 
 
 def test_queued_request_is_rejected_before_its_objective() -> None:
@@ -21,6 +21,20 @@
     assert answered[0] - started < 2 * S
 
 
+def test_expired_request_counts_by_what_it_waited_for() -> None:
+    settings = with_class(RequestClass(latency_objective_us=200 * MS, deadline_us=400 * MS))
+    without_server = World(settings, fleet=())
+    without_server.ask("a", time_left_us=400 * MS)
+    without_server.run(400 * MS)
+    assert dict(without_server.gateway.counters.ended) == {"server": 1}
+    over_limit = World(settings)
+    over_limit.gateway.overload.admission_limit = 1.0
+    over_limit.gateway.overload.period_limit = 0
+    over_limit.ask("a", time_left_us=400 * MS)
+    over_limit.run(400 * MS)
+    assert dict(over_limit.gateway.counters.ended) == {"cap": 1}
+
+
 def test_request_without_time_left_is_answered_at_once() -> None:
     world = World(fleet=())
     assert of(Reject, world.ask("a", time_left_us=0))
