--- a/orchidhatch/control/ownership/service.py
+++ b/orchidhatch/control/ownership/service.py
@@ -1,4 +1,4 @@
-"""Sessions and claims of one registry: their leases, who waits for changes, and metrics.
+"""Sessions and claims of one registry: their leases, the requests that wait for changes, and metrics.
 
 Sessions' leases are kept by the monotonic clock and begin anew with the process. Where most sessions would
 run out together, rather the network or this registry failed: their end is withheld for a while.
@@ -12,7 +12,7 @@
 from orchidhatch.control.errors import ConflictError, NotFoundError
 from orchidhatch.control.http_connection import Connection
 from orchidhatch.control.http_response import Response
-from orchidhatch.control.leases import LeaseTable, MassExpiryLimit
+from orchidhatch.control.lease_table import LeaseTable, MassExpiryLimit
 from orchidhatch.control.ownership.objects import Claim, Session
 from orchidhatch.control.ownership.writes import ClaimsWrite, EndSession
 from orchidhatch.control.registry.store import Outcome, Store
