--- a/orchidhatch/gateway/peer_outbox.py
+++ b/orchidhatch/gateway/peer_outbox.py
@@ -4,7 +4,7 @@
 from collections import Counter, deque
 
 from orchidhatch.gateway.actions import SendGossip
-from orchidhatch.gateway.constants import CC_PERIOD_US, MOST_PERIODS
+from orchidhatch.gateway.constants import MAX_CONTROL_PERIOD_US
 from orchidhatch.gateway.decision_context import DecisionContext
 from orchidhatch.gateway.gossip import AttemptObservation, GossipMessage
 from orchidhatch.gateway.leader_requests import LEADER_REPLY_TIMEOUT_US
@@ -92,5 +92,5 @@
         return tuple(
             observation
             for ended_us, observation in itertools.islice(self.observations, first, None)
-            if self.context.now_us - ended_us < MOST_PERIODS * CC_PERIOD_US
+            if self.context.now_us - ended_us < MAX_CONTROL_PERIOD_US
         )
