--- a/orchidhatch/proxy/request_exchange.py
+++ b/orchidhatch/proxy/request_exchange.py
@@ -4,7 +4,8 @@
 
 from orchidhatch.gateway.attempts import AttemptResult
 from orchidhatch.proxy.attempt import Attempt
-from orchidhatch.proxy.clients import Command, Reply
+from orchidhatch.proxy.command_parser import Command
+from orchidhatch.proxy.reply import Reply
 
 
 class RequestExchange:
@@ -52,4 +53,4 @@
 
     def has_another_out(self, attempt: Attempt) -> bool:
         """Whether an attempt beside this one may still reach its backend or be answered."""
-        return any(other is not attempt and not other.over for other in self.out.values())
+        return any(other is not attempt and not other.has_ended for other in self.out.values())
--- a/tests/control/test_schemas.py
+++ b/tests/control/test_schemas.py
@@ -18,7 +18,7 @@
     read_remove_endpoint,
 )
 from orchidhatch.gateway.endpoints import EndpointListKind, EndpointState
-from orchidhatch.proxy.endpoint_watch import Catalog
+from orchidhatch.proxy.endpoint_list_reader import EndpointListReader
 from tests.sockets import CONFIG
 
 GIVEN = {
@@ -177,8 +177,8 @@
 )
 def test_gateway_reads_a_registered_endpoint(given: dict[str, object]) -> None:
     entry: Endpoint = read_register_endpoint(json.dumps(given).encode()).endpoint
-    catalog = Catalog(CONFIG)
-    event = catalog.news(json.loads(encode_watch_event(3, True, [entry])))
+    reader = EndpointListReader(CONFIG)
+    event = reader.read(json.loads(encode_watch_event(3, True, [entry])))
     [server] = event.event.endpoints
     assert event.event.kind is EndpointListKind.FULL and server.name == given["instanceId"]
     assert event.addresses == {entry.id: ("127.0.0.1", int(entry.address.rpartition(":")[2]))}
--- a/tests/control/test_store_executor.py
+++ b/tests/control/test_store_executor.py
@@ -19,9 +19,10 @@
 
     pending = asyncio.gather(executor.run(first), executor.run(lambda: events.append("second")))
     await asyncio.sleep(0.05)
-    assert not events
+    events_before = list(events)
     release.set()
     await pending
+    assert events_before == []
     assert events == ["first", "second"]
 
 
@@ -40,7 +41,8 @@
     caller.cancel()
     with pytest.raises(asyncio.CancelledError):
         await caller
-    [pending] = executor.pending_work()
+    pending = list(executor.pending_work())
     release.set()
-    await pending
+    await asyncio.gather(*pending)
+    assert len(pending) == 1
     assert events == ["done"]
--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -15,12 +15,22 @@
 from orchidhatch.gateway.gossip import GossipMessage, SlotGrant
 from orchidhatch.gateway.settings import Plan
 from orchidhatch.gateway.snapshots import HandoverEjection
-from orchidhatch.proxy import attempt, backends, event_dispatcher, process_lifecycle, request_lifecycle
+from orchidhatch.proxy import (
+    attempt,
+    backend_connection,
+    backend_pool,
+    backends,
+    event_dispatcher,
+    process_lifecycle,
+    request_lifecycle,
+)
 from orchidhatch.proxy import socket_inspection as looks
 from orchidhatch.proxy.attempt import Attempt
-from orchidhatch.proxy.backends import Connection, Pool
-from orchidhatch.proxy.clients import PATIENCE_S, Reply
+from orchidhatch.proxy.backend_connection import BackendConnection
+from orchidhatch.proxy.backend_pool import BackendPool
+from orchidhatch.proxy.client_connection import COMMAND_TIMEOUT_S
 from orchidhatch.proxy.config import Policy
+from orchidhatch.proxy.reply import Reply
 from orchidhatch.proxy.server import GatewayServer
 from tests import helpers
 from tests.helpers import S, World, of
@@ -42,7 +52,7 @@
 def tell(gateway: GatewayServer, *entries: dict[str, object]) -> None:
     """Discovery's news, as its watch hands them on."""
     gateway.apply_endpoints(
-        gateway.catalog.news(json.loads(catalog(gateway.catalog.version + 1, entries, reset=False)))
+        gateway.catalog.read(json.loads(catalog(gateway.catalog.version + 1, entries, reset=False)))
     )
 
 
@@ -75,7 +85,7 @@
     "drains": lambda gateway, backend: tell(gateway, entry("s0", backend.address, "DRAINING")),
     "gone": lambda gateway, backend: tell(gateway, {"instanceId": "s0", "lifecycle": "DELETED"}),
     "not in the whole list": lambda gateway, backend: gateway.apply_endpoints(
-        gateway.catalog.news(json.loads(catalog(gateway.catalog.version + 1, [])))
+        gateway.catalog.read(json.loads(catalog(gateway.catalog.version + 1, [])))
     ),
     "left out at the other process": lambda gateway, backend: gateway.handover.handover_peer_sent(
         HandoverEjection("s0", True)
@@ -108,7 +118,7 @@
         client = await Client.open(address)
         client.send(query("a1"))
         pool = gateway.backends.pools["s0"]
-        while not pool.waiting:
+        while not pool.waiting_attempts:
             await asyncio.sleep(0)
         tell(gateway, entry("s0", leaving.address, "DRAINING"), entry("s1", elsewhere))
         assert await client.answer() == b"ok"
@@ -124,7 +134,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The module's turn may be due already when an attempt is given up, ahead of the close in the queue."""
-    monkeypatch.setattr(backends, "REST_US", 0)
+    monkeypatch.setattr(backend_pool, "REUSE_DELAY_US", 0)
 
     both = [Backend(), Backend()]
     async with front_door(*both) as (gateway, address):
@@ -138,13 +148,13 @@
         first = next(backend for backend in both if backend.commands)
         other = next(backend for backend in both if backend is not first)
         attempt, closed = gateway.requests.open["a1"].out[0], []
-        send = Connection.send
+        send = BackendConnection.send
 
-        def sent(connection: Connection, following: Attempt) -> None:
+        def sent(connection: BackendConnection, following: Attempt) -> None:
             closed.append(looks.left(first.writers[-1].transport))
             send(connection, following)
 
-        monkeypatch.setattr(Connection, "send", sent)
+        monkeypatch.setattr(BackendConnection, "send", sent)
         gateway.dispatcher.post(ClientGone("somebody else"))
         attempt.time_out()
         other.answer = lambda words: value(b"at last")
@@ -157,13 +167,13 @@
     late: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It comes on a connection that rests, or just before the next request is written there."""
-    monkeypatch.setattr(backends, "REST_US", 0 if late == "unread" else 3_600_000_000)
+    monkeypatch.setattr(backend_pool, "REUSE_DELAY_US", 0 if late == "unread" else 3_600_000_000)
 
     backend = Backend()
     async with front_door(backend) as (gateway, address):
         client = await Client.open(address)
         assert await client.ask(query("a1")) == b"ok"
-        (resting,) = gateway.backends.pools["s0"].idle
+        (resting,) = gateway.backends.pools["s0"].idle_connections
         backend.answer = lambda words: None
 
         def spoil() -> None:
@@ -173,7 +183,7 @@
         client.send(query("a2"))
         while len(backend.commands) < 2:
             await asyncio.sleep(0)
-        while resting.usable():
+        while resting.is_usable():
             await asyncio.sleep(0)
         backend.writers[1].write(value(b"its own"))
         assert await client.answer() == b"its own"
@@ -184,7 +194,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Written there it would end as a reset, after which it may have run and must not be sent again."""
-    monkeypatch.setattr(backends, "REST_US", 0)
+    monkeypatch.setattr(backend_pool, "REUSE_DELAY_US", 0)
 
     backend = Backend()
     async with front_door(backend) as (gateway, address):
@@ -200,25 +210,26 @@
 ) -> None:
     """The module decided on it in time; what it repeats may have run, and is forgotten there by now."""
     real, late_us = backends.now_us, 0
-    for module in (attempt, backends, event_dispatcher, request_lifecycle, process_lifecycle):
+    modules = (attempt, backend_connection, backend_pool, backends)
+    for module in (*modules, event_dispatcher, request_lifecycle, process_lifecycle):
         monkeypatch.setattr(module, "now_us", lambda: real() + late_us)
-    monkeypatch.setattr(backends, "REST_US", 3_600_000_000)
+    monkeypatch.setattr(backend_pool, "REUSE_DELAY_US", 3_600_000_000)
 
     async def job() -> None:
         nonlocal late_us
         both = [Backend(lambda words: b"-ERR failed\r\n"), Backend(lambda words: b"-ERR failed\r\n")]
         classes = (SETTINGS.classes[0], replace(SETTINGS.classes[1], dedup_window_us=S), SETTINGS.classes[2])
         async with front_door(*both, settings=replace(SETTINGS, classes=classes)) as (gateway, address):
-            client, up, connect = await Client.open(address), asyncio.Event(), Pool.connect
+            client, up, connect = await Client.open(address), asyncio.Event(), BackendPool.connect
 
-            async def connect_late(pool: Pool, connection: Connection) -> None:
+            async def connect_late(pool: BackendPool, connection: BackendConnection) -> None:
                 if sum(len(backend.commands) for backend in both):
                     await up.wait()
                 await connect(pool, connection)
 
-            monkeypatch.setattr(Pool, "connect", connect_late)
+            monkeypatch.setattr(BackendPool, "connect", connect_late)
             client.send(submit("a1", kind="book"))
-            while not any(pool.waiting for pool in gateway.backends.pools.values()) or not sum(
+            while not any(pool.waiting_attempts for pool in gateway.backends.pools.values()) or not sum(
                 len(backend.commands) for backend in both
             ):
                 await asyncio.sleep(0)
@@ -246,18 +257,19 @@
         client = await Client.open(address)
         client.send(query("a1", units="2"))
         pool = gateway.backends.pools["s0"]
-        while not pool.waiting:
+        while not pool.waiting_attempts:
             await asyncio.sleep(0)
         (customer,) = gateway.core.quotas.customers.values()
-        assert customer.level < 3
+        assert customer.quota.set_level < 3
         connect = pool.connecting
         for connection in list(gateway.clients.connections):
             connection.connection_lost(None)  # before the one to the backend is told to be up
         assert connect == 1 and not gateway.requests.ended
-        while not pool.idle:
+        while not pool.idle_connections:
             await asyncio.sleep(0)
         assert not backend.commands and not gateway.core.requests
-        assert customer.level == pytest.approx(4, abs=0.2) and customer.in_flight == 0  # given back, once
+        assert customer.quota.set_level == pytest.approx(4, abs=0.2)  # given back, once
+        assert customer.in_flight == 0
 
 
 @pytest.mark.parametrize("level", [15.0, 5.0])
@@ -267,14 +279,16 @@
     name = next(str(n) for n in range(9) if zlib.crc32(str(n).encode()) % 3)  # at home elsewhere
     world.ask("r1", customer=name, units=10.0, set_size=3)
     (customer,) = world.gateway.quotas.customers.values()
-    assert world.gateway.awaiting_grant and not customer.is_leader
+    assert world.gateway.admission.awaiting_grant and not customer.is_leader
     world.tell(ClientGone("r1"))
     word = GossipMessage(*customer.key, True, 10.0, 0.0, 10.0, level, 0, SlotGrant.NONE)
     for _ in range(2):
         world.tell(PeerMessage(customer.leader, (word,), ()))
-    assert customer.unreported_spend == (-10.0 if level >= 10 else 0.0)
+    assert customer.quota.unreported_spend == (-10.0 if level >= 10 else 0.0)
     assert (
-        not world.gateway.awaiting_grant and not world.gateway.requests and not of(SendAttempt, world.run(S))
+        not world.gateway.admission.awaiting_grant
+        and not world.gateway.requests
+        and not of(SendAttempt, world.run(S))
     )
 
 
@@ -285,7 +299,7 @@
     async with front_door(backend) as (gateway, address):
         client = await Client.open(address)
         client.send(b"".join(query(f"a{n}") for n in range(40)))
-        while all(connection.reading for connection in gateway.clients.connections):
+        while all(connection.is_reading for connection in gateway.clients.connections):
             await asyncio.sleep(0)
         client.writer.close()
         while gateway.requests.open or gateway.clients.connections or gateway.core.requests:
@@ -315,7 +329,7 @@
 
 async def drain(gateway: GatewayServer) -> asyncio.Task[None]:
     draining = asyncio.create_task(gateway.drain())
-    while not gateway.clients.draining:
+    while not gateway.clients.is_draining:
         await asyncio.sleep(0)
     return draining
 
@@ -394,7 +408,7 @@
         end = taken.transport.get_extra_info("socket")  # else the kernel would take it all
         end.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         slow.send(query("a1"))
-        while not gateway.clients.unsent:
+        while not gateway.clients.backlog.unsent_bytes:
             await asyncio.sleep(0)
         draining = await drain(gateway)
         while not gateway.clients.reads_no_more:
@@ -486,11 +500,11 @@
         late = await Client.open(address)
         while len(gateway.clients.connections) < 3:
             await asyncio.sleep(0)
-        gateway.clients.most = 3
+        gateway.clients.max_connections = 3
         for client, name in ((first, "a1"), (late, "a2")):
             os.write(client.writer.get_extra_info("socket").fileno(), query(name))  # in this very turn
-        now_s += PATIENCE_S
-        gateway.clients.sweep()
+        now_s += COMMAND_TIMEOUT_S
+        gateway.clients.sweeper.sweep()
         gateway.clients.make_room(None)
         assert await second.ended()
         assert await first.answer() == b"ok" and await late.answer() == b"ok"
