--- a/tests/control/agent/test_failing_disk.py
+++ b/tests/control/agent/test_failing_disk.py
@@ -62,7 +62,7 @@
 
 
 async def test_restarted_agent_never_shows_an_earlier_list(tmp_path: Path) -> None:
-    """Its cache lacks what it told last: a gateway is told neither the old list nor an earlier generation."""
+    """Its cache lacks what it showed last; a gateway gets neither the old list nor an old generation."""
     async with serving(tmp_path / "r.db") as registry:
         await register_endpoint(registry, "s-1")
         async with running_agent(tmp_path / "a.db", address_of(registry)) as agent:
@@ -76,6 +76,7 @@
         async with running_agent(tmp_path / "a.db", address_of(registry)) as agent:
             event = await (await Watcher.open(address_of(agent), shown_generation)).next_event()
             assert event["reset"] and len(event["instances"]) == 8 and event["generation"] > shown_generation
+            await until(lambda: not agent.cached_list.is_behind)  # the watch is sent the list before the disk
         reopened = open_cache(tmp_path / "a.db")
         assert len(reopened.entries) == 8
         reopened.close()
--- a/tests/control/agent/test_gateway_process.py
+++ b/tests/control/agent/test_gateway_process.py
@@ -12,7 +12,8 @@
 
 
 async def test_reload_signals_no_other_process(tmp_path: Path) -> None:
-    config_file, pid_file = tmp_path / "config.json", tmp_path / "pid"
+    config_file = tmp_path / "config.json"
+    pid_file = tmp_path / "pid"
     gateway = GatewayProcess(pid_file, config_file)
     for own in (False, True):
         env = {"PROXY_CONFIG": str(config_file if own else tmp_path / "other.json")}
--- a/tests/control/agent/test_gateway_steering.py
+++ b/tests/control/agent/test_gateway_steering.py
@@ -1,4 +1,4 @@
-"""Steering a gateway that does not do what it is told, or cannot be told."""
+"""Steering a gateway that ignores a policy, or that cannot be reached."""
 
 from pathlib import Path
 
@@ -27,7 +27,8 @@
         assert await fixture.advance(0.1) == 503 and steering.failed_switches
         fixture.ignores_signals = False
         assert await fixture.advance(0.1) == 200
-        agent, address = fixture.agent, fixture.holder.gateway.address
+        agent = fixture.agent
+        address = fixture.holder.gateway.address
         fixture.holder.gateway.address = (HOST, 1)
         await fixture.advance(LEASE_S + 0.1, renews=False)
         assert (
--- a/tests/control/agent/test_policy_lease.py
+++ b/tests/control/agent/test_policy_lease.py
@@ -27,7 +27,8 @@
     tmp_path: Path,
 ) -> None:
     async with leased_gateway(tmp_path) as fixture:
-        gateway, holder = fixture.gateway, fixture.holder
+        gateway = fixture.gateway
+        holder = fixture.holder
         first_number = decision_number(fixture.registry)
         assert await fixture.advance() == 200 and gateway.active.config.policy.number == first_number
         await fixture.put_record(DOCUMENT_RECORD_PREFIX + DIGEST_A, DOCUMENT_A)
@@ -61,7 +62,8 @@
         return msgspec.convert({**value, **changes}, PolicyLeaseAnswer)
 
     async with leased_gateway(tmp_path) as fixture:
-        lease, time = fixture.holder.lease, fixture.time
+        lease = fixture.holder.lease
+        time = fixture.time
         start_s = time.now
         await lease.apply_answer(answer(leftMs=10_000), start_s - 0.8)  # 9.2 to 10 s from now
         assert lease.decision.activation_time_s() == pytest.approx(start_s + 9.6)
--- a/tests/control/agent/test_service.py
+++ b/tests/control/agent/test_service.py
@@ -54,7 +54,9 @@
 
 
 async def test_gateway_serves_on_without_registry_and_agent(tmp_path: Path) -> None:
-    listen, at, backend = refusing_address(), refusing_address(), Backend()
+    listen = refusing_address()
+    at = refusing_address()
+    backend = Backend()
     registry = await start(tmp_path / "r.db", listen, "--create")
     address = await backend.start()
     given = body(instanceId="s-1", hostPort=f"{address[0]}:{address[1]}")
@@ -92,13 +94,14 @@
 
 
 async def test_agent_answers_while_its_disk_is_slow(tmp_path: Path) -> None:
-    """News is on its way to the disk for as long as the test likes; watches go on hearing of the agent."""
+    """A change is on its way to the disk for as long as the test likes; watches go on meanwhile."""
     async with (
         serving(tmp_path / "1.db") as registry,
         running_agent(tmp_path / "a.db", address_of(registry)) as agent,
     ):
         await until(lambda: agent.replicator.connected)
-        commit, written = agent.store.commit, threading.Event()
+        commit = agent.store.commit
+        written = threading.Event()
 
         def slow(batch: Batch) -> None:
             written.wait()
--- a/tests/control/ownership/test_service.py
+++ b/tests/control/ownership/test_service.py
@@ -15,7 +15,8 @@
 
 async def test_session_keeps_its_claims_while_renewed(tmp_path: Path) -> None:
     async with serving(tmp_path / "1.db") as registry:
-        at, now = address_of(registry), registry.clock()
+        at = address_of(registry)
+        now = registry.clock()
         registry.clock = lambda: now
         assert [await open_session(at, "a"), await open_session(at, "b")] == [200, 200]
         assert await open_session(at, "a", "2") == 409
--- a/tests/control/ownership/test_transactions.py
+++ b/tests/control/ownership/test_transactions.py
@@ -25,8 +25,10 @@
 from orchidhatch.control.registry.store import Store
 from tests.control.registry.test_store import one
 
-HOLDERS, NAMES = ("a", "b", "c"), ("x", "y")
-holders, names = st.sampled_from(HOLDERS), st.sampled_from(NAMES)
+HOLDERS = ("a", "b", "c")
+NAMES = ("x", "y")
+holders = st.sampled_from(HOLDERS)
+names = st.sampled_from(NAMES)
 steps = st.one_of(
     st.builds(lambda h, n: OpenSession(Session(h, f"{h}{n}", 1000)), holders, st.integers(0, 1)),
     st.builds(lambda h, n, lost: EndSession(h, f"{h}{n}", lost), holders, st.integers(0, 1), st.booleans()),
--- a/tests/control/policy/test_gateway_policy_leases.py
+++ b/tests/control/policy/test_gateway_policy_leases.py
@@ -80,7 +80,7 @@
         _, answer = await renew(registry, "a", number=first + 1, digest=DIGEST_A, leftMs=11_500)
         assert answer["sure"] and answer["leftMs"] == 11_500
         assert (await renew(registry, "b"))[1]["leftMs"] == 11_500
-    async with registry_on_clock(path, clock, create=False) as registry:  # no agent has heard it
+    async with registry_on_clock(path, clock, create=False) as registry:  # it has reached no agent
         await renew(registry, "a")
         assert registry.policy_leases.current_decision.remaining_s() is None
         assert (await renew(registry, "b"))[1]["leftMs"] == round(ABSENT_AFTER_S * 1000)
@@ -104,7 +104,7 @@
             assert (await renew(second, "a"))[0] == 409
             number = decision_number(first)
             first.store.apply([PutRecord(document_record(DIGEST_B), DOCUMENT_B)])
-            await decide(first, DIGEST_B, "", number + 1)  # of which the replica hears nothing
+            await decide(first, DIGEST_B, "", number + 1)  # which does not reach the replica
             for task in second.role.tasks:
                 task.cancel()
             await first.close()
@@ -170,7 +170,7 @@
         assert (await call(address, "POST /doors", b'{"name":"-","life":"1","zone":"z"}'))[0] == 400
         second_agent = b'{"name":"a","life":"2","zone":"z"}'
         status, answer = await call(address, "POST /doors", second_agent)
-        # Agents of other versions register their gateway again by these words.
+        # Agents of other versions register their gateway again by this text.
         assert status == 409 and "another life" in answer["error"]
         assert (await call(address, "DELETE /doors/a"))[0] == 409  # it may serve
         assert (await call(address, "DELETE /doors/b"))[0] == 404
--- a/tests/control/policy/test_term_decision.py
+++ b/tests/control/policy/test_term_decision.py
@@ -10,7 +10,8 @@
     host = FakeHost()
     host.commit(RegisterGateway(Gateway("a", "a-1", "a")))
     leases = GatewayPolicyLeases(host)
-    takes, enqueued = [False, True], []
+    takes = [False, True]
+    enqueued = []
     host.enqueue_internal = lambda write: enqueued.append(write) or takes.pop(0)
     renew(host, leases, "a")
     assert len(enqueued) == 1
--- a/tests/control/registry/test_command.py
+++ b/tests/control/registry/test_command.py
@@ -17,7 +17,8 @@
 
 
 async def test_killed_registry_has_all_acknowledged_writes(path: Path) -> None:
-    listen, made = refusing_address(), {}
+    listen = refusing_address()
+    made = {}
     process = await start(path, listen, "--create")
     for round_ in range(4):
 
@@ -72,7 +73,8 @@
 
 
 async def test_gateway_serves_on_without_its_registry(path: Path) -> None:
-    listen, backends = refusing_address(), [Backend(), Backend()]
+    listen = refusing_address()
+    backends = [Backend(), Backend()]
     process = await start(path, listen, "--create")
     for number, backend in enumerate(backends):
         at = await backend.start()
--- a/tests/control/registry/test_lease_expiry.py
+++ b/tests/control/registry/test_lease_expiry.py
@@ -15,7 +15,8 @@
 async def test_endpoint_with_an_expired_lease_is_removed(path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(service, "CHECK_INTERVAL_S", 0.005)
     async with serving(path) as registry:
-        at, now = address_of(registry), [registry.clock()]
+        at = address_of(registry)
+        now = [registry.clock()]
         registry.clock = lambda: now[0]
         for name in ("s-1", "s-2"):
             await call(at, "POST /entries", body(instanceId=name, leaseMs=1500))
--- a/tests/control/registry/test_rebuild.py
+++ b/tests/control/registry/test_rebuild.py
@@ -56,7 +56,7 @@
             assert status == 0 and "damaged" in output and "2 entries" in output
             assert (tmp_path / "list.db.damaged").read_bytes() == broken
             again = Store(path)
-            assert again.term == 4  # above the one that the agent had heard of
+            assert again.term == 4  # above the one that the agent knew of
             assert again.entries.keys() == {"s-1", "s-2"} and again.generation > before["generation"]
             assert again.entries["s-1"].address == "127.0.0.1:7001"
             again.close()
@@ -66,7 +66,9 @@
 async def test_agents_prefer_a_store_rebuilt_from_a_backup(
     tmp_path: Path,
 ) -> None:
-    path, copy, new = tmp_path / "list.db", tmp_path / "copy.db", tmp_path / "new.db"
+    path = tmp_path / "list.db"
+    copy = tmp_path / "copy.db"
+    new = tmp_path / "new.db"
     store = Store(path, create=True)
     one(store, RegisterEndpoint(entry(1, lease_ms=5000)))
     store.close()
--- a/tests/control/registry/test_replication.py
+++ b/tests/control/registry/test_replication.py
@@ -185,7 +185,7 @@
 async def replace_registry(
     first: asyncio.subprocess.Process, replica: tuple[str, int], gateway: GatewayServer
 ) -> None:
-    """Kill a registry amid its work, and have the replica go on; the gateway hears of what comes after."""
+    """Kill a registry amid its work, and have the replica go on; the gateway is sent what comes after."""
     while len((await call(replica, "GET /catalog/members"))[1]["instances"]) < 2:
         await asyncio.sleep(0.01)
     version = gateway.catalog.version
@@ -201,7 +201,9 @@
 
 async def test_promotion_amid_traffic_loses_no_request(tmp_path: Path) -> None:
     """Two registries, an agent and a gateway; the first is killed, the second promoted by command."""
-    at1, at2, agent_address = refusing_address(), refusing_address(), refusing_address()
+    at1 = refusing_address()
+    at2 = refusing_address()
+    agent_address = refusing_address()
     follow = ("--create", "--follow", f"{HOST}:{at1[1]}", "--peer", f"{HOST}:{at1[1]}")
     first = await start(tmp_path / "1.db", at1, "--create")
     second = await start(tmp_path / "2.db", at2, *follow)
@@ -228,7 +230,8 @@
 
 async def test_replaced_registry_acknowledges_nothing(tmp_path: Path) -> None:
     """Real processes: the writes that waited on its socket while it stood still are lost if acknowledged."""
-    at1, at2 = refusing_address(), refusing_address()
+    at1 = refusing_address()
+    at2 = refusing_address()
     one = await start(tmp_path / "1.db", at1, "--create", "--peer", f"{HOST}:{at2[1]}")
     two = await start(tmp_path / "2.db", at2, "--create", "--follow", f"{HOST}:{at1[1]}")
     assert (await call(at1, "POST /entries", body(instanceId="s-0", leaseMs=60_000)))[0] == 200
@@ -253,7 +256,8 @@
     tmp_path: Path,
 ) -> None:
     """The real process started on what was on disk: the log of its store cut at lengths over all of it."""
-    listen, path = refusing_address(), tmp_path / "list.db"
+    listen = refusing_address()
+    path = tmp_path / "list.db"
     process = await start(path, listen, "--create")
     for number in range(20):
         assert (await call(listen, "POST /entries", body(instanceId=f"s-{number:02}")))[0] == 200
--- a/tests/control/registry/test_store.py
+++ b/tests/control/registry/test_store.py
@@ -241,7 +241,8 @@
 
 def written(path: Path) -> tuple[Store, list[dict[str, Endpoint]]]:
     """A store with some writes, still open and with all of them in its log; the entries by generation."""
-    store, states = Store(path, create=True), [{}]
+    store = Store(path, create=True)
+    states = [{}]
     store.db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
     store.db.execute("PRAGMA wal_autocheckpoint = 0")
     for number in range(6):
