--- a/tests/control/test_schemas.py
+++ b/tests/control/test_schemas.py
@@ -178,9 +178,9 @@
 def test_gateway_reads_a_registered_endpoint(given: dict[str, object]) -> None:
     entry: Endpoint = read_register_endpoint(json.dumps(given).encode()).endpoint
     reader = EndpointListReader(CONFIG)
-    event = reader.read(json.loads(encode_watch_event(3, True, [entry])))
-    [server] = event.event.endpoints
-    assert event.event.kind is EndpointListKind.FULL and server.name == given["instanceId"]
-    assert event.addresses == {entry.id: ("127.0.0.1", int(entry.address.rpartition(":")[2]))}
+    update = reader.read(json.loads(encode_watch_event(3, True, [entry])))
+    [server] = update.event.endpoints
+    assert update.event.kind is EndpointListKind.FULL and server.name == given["instanceId"]
+    assert update.addresses == {entry.id: ("127.0.0.1", int(entry.address.rpartition(":")[2]))}
     assert (server.state is EndpointState.UP) == (given["lifecycle"] == "SERVING")
     assert server.relative_capacity == given["weight"] and server.cell == given["cell"]
