--- a/tests/control/policy/conftest.py
+++ b/tests/control/policy/conftest.py
@@ -2,6 +2,7 @@
 
 import pytest
 
+from tests.control.policy.fake_host import FakeHost
 from tests.control.policy.helpers import FakeClock
 
 
@@ -16,3 +17,8 @@
     """The same clock, by which tasks count their remaining time too."""
     monkeypatch.setattr("orchidhatch.control.controller.countdown.time.monotonic", clock)
     return clock
+
+
+@pytest.fixture
+def host() -> FakeHost:
+    return FakeHost()
