--- a/orchidhatch/gateway/gossip.py
+++ b/orchidhatch/gateway/gossip.py
@@ -1,7 +1,20 @@
 """What gateways send each other: messages on a customer's quota, and observations of the servers."""
 
 from dataclasses import dataclass
-from enum import IntEnum
+from enum import Enum, IntEnum, auto
+
+
+class MessageKind(Enum):
+    """What a gossip message is for.
+
+    A report brings the leader up to date, and follows the end of an attempt where a slot was in use. A grant
+    request asks whether a request may be admitted, a slot request for a concurrency slot; both report too.
+    """
+
+    REPORT = auto()
+    GRANT_REQUEST = auto()
+    SLOT_REQUEST = auto()
+    LEADER_ANSWER = auto()
 
 
 class SlotGrant(IntEnum):
@@ -36,6 +49,27 @@
     in_flight: int = 0
     slot_grant: SlotGrant = SlotGrant.NONE
 
+    @property
+    def kind(self) -> MessageKind:
+        """What the message is for, by `is_answer` and the sign of `requested`."""
+        if self.is_answer:
+            return MessageKind.LEADER_ANSWER
+        if self.requested > 0:
+            return MessageKind.GRANT_REQUEST
+        if self.requested < 0:
+            return MessageKind.SLOT_REQUEST
+        return MessageKind.REPORT
+
+    @property
+    def answers_grant_request(self) -> bool:
+        """Whether this is the leader's answer to a grant request."""
+        return self.is_answer and self.requested > 0
+
+    @property
+    def requested_units(self) -> float:
+        """The units that a grant or a slot was requested with, without the sign that says which."""
+        return abs(self.requested)
+
 
 @dataclass(frozen=True, slots=True)
 class AttemptObservation:
--- a/orchidhatch/gateway/quota_leader.py
+++ b/orchidhatch/gateway/quota_leader.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from orchidhatch.gateway.decision_context import DecisionContext
-from orchidhatch.gateway.gossip import GossipMessage, SlotGrant
+from orchidhatch.gateway.gossip import GossipMessage, MessageKind, SlotGrant
 from orchidhatch.gateway.peer_outbox import PeerOutbox
 from orchidhatch.gateway.quota import Customer
 from orchidhatch.gateway.snapshots import CustomerKey
@@ -51,20 +51,20 @@
         now_us = self.context.now_us
         customer.demand.add_reported(message.demand)
         customer.spend(message.spent)
-        # A message without a request follows the end of an attempt.
-        has_ended = not message.requested
+        kind = message.kind
+        has_ended = kind is MessageKind.REPORT
         customer.leader_slots.on_report(sender, message.in_flight, has_ended, now_us)
         shares_slots = customer.shares_slots()
         if shares_slots and not self.context.has_handover_peer:
             customer.ceiling.receive(sender, now_us)
-        requests_grant = message.requested > 0
+        requests_grant = kind is MessageKind.GRANT_REQUEST
         granted = customer.chance(message.requested) if requests_grant else 0.0
-        if shares_slots and (message.requested < 0 or granted):
+        if shares_slots and (kind is MessageKind.SLOT_REQUEST or granted):
             # A request that is granted units needs a slot at once.
-            customer.leader_slots.enqueue(sender, abs(message.requested), now_us)
+            customer.leader_slots.enqueue(sender, message.requested_units, now_us)
         is_level_low = message.spent > 0 and customer.quota.set_level < customer.plan.burst / 2
         if requests_grant or is_level_low:
-            self.answer(sender, customer, max(0.0, message.requested))
+            self.answer(sender, customer, message.requested if requests_grant else 0.0)
         customer.spend(message.requested * granted)
 
     def grant_slots(self, customer: Customer) -> None:
--- a/orchidhatch/gateway/quota_leaders.py
+++ b/orchidhatch/gateway/quota_leaders.py
@@ -4,7 +4,7 @@
 
 from orchidhatch.gateway.decision_context import DecisionContext
 from orchidhatch.gateway.demand_estimate import DEMAND_DECAY_US
-from orchidhatch.gateway.gossip import GossipMessage
+from orchidhatch.gateway.gossip import GossipMessage, MessageKind
 from orchidhatch.gateway.peer_outbox import PeerOutbox
 from orchidhatch.gateway.quota import Customer
 from orchidhatch.gateway.quota_leader import QueuesUnsent, QuotaLeader
@@ -126,7 +126,7 @@
 
     def request_grant(self, customer: Customer, units: float) -> None:
         """Ask the customer's leader whether a request of so many units may be admitted."""
-        self.member.report(customer, units)
+        self.member.request_grant(customer, units)
 
     # --- messages ---
 
@@ -148,9 +148,9 @@
                 continue
             is_new = key not in self.customers
             customer = self.customer(key)
-            if message.is_answer:
+            if message.kind is MessageKind.LEADER_ANSWER:
                 self.member.on_answer(customer, message)
-                answered(customer if message.requested > 0 else None)
+                answered(customer if message.answers_grant_request else None)
             elif customer.is_leader:
                 if is_new:
                     customer.quota.set_level = min(customer.quota.set_level, message.level)
--- a/orchidhatch/gateway/quota_member.py
+++ b/orchidhatch/gateway/quota_member.py
@@ -20,11 +20,21 @@
         # Customers that a slot is granted to, or whose attempts in flight are to be reported again.
         self.renewals: dict[CustomerKey, Customer] = {}
 
-    def report(self, customer: Customer, requested: float = 0.0) -> None:
-        """Send the leader what was requested and spent here since the last message.
+    def report(self, customer: Customer) -> None:
+        """Send the leader what was requested and spent here since the last message."""
+        self.send(customer, 0.0)
 
-        `requested` above zero requests a grant of so many units, below zero a slot.
-        """
+    def request_grant(self, customer: Customer, units: float) -> None:
+        """Ask the leader whether a request of so many units may be admitted; reports too."""
+        self.send(customer, units)
+
+    def request_slot(self, customer: Customer, ceiling_units: float) -> None:
+        """Request a slot, and units of the rate ceiling where the local share lacks them; reports too."""
+        customer.member_slot.on_request_sent(self.context.now_us)
+        self.send(customer, -max(SLOT_ONLY_UNITS, ceiling_units))
+
+    def send(self, customer: Customer, requested: float) -> None:
+        """Send the leader a message; `requested` has the sign of the message's kind, see GossipMessage."""
         if not customer.is_leader:
             message = GossipMessage(
                 *customer.key,
@@ -40,11 +50,6 @@
             self.outbox.add(customer.leader, message)
         customer.clear_unreported()
 
-    def request_slot(self, customer: Customer, ceiling_units: float) -> None:
-        """Request a slot, and units of the rate ceiling where the local share lacks them."""
-        customer.member_slot.on_request_sent(self.context.now_us)
-        self.report(customer, -max(SLOT_ONLY_UNITS, ceiling_units))
-
     def on_answer(self, customer: Customer, message: GossipMessage) -> None:
         """Take over what the leader has answered."""
         now_us = self.context.now_us
