--- a/tests/gateway/test_member_slot.py
+++ b/tests/gateway/test_member_slot.py
@@ -96,6 +96,15 @@
     assert not slot.is_request_due(later_us)
 
 
+def test_unused_slot_is_given_back_while_a_request_is_queued() -> None:
+    slot = MemberSlot()
+    slot.on_granted(NOW_US)
+    slot.on_queued(NOW_US)
+    slot.give_back()
+    assert slot.state is SlotState.QUEUED
+    assert not slot.is_request_due(NOW_US + QUEUED_RETRY_US - 1)
+
+
 def test_unused_slot_is_given_back_without_another_request() -> None:
     slot = MemberSlot()
     slot.on_granted(NOW_US)
--- a/tests/gateway/test_quota_leader.py
+++ b/tests/gateway/test_quota_leader.py
@@ -7,8 +7,9 @@
 from orchidhatch.gateway.actions import SendGossip
 from orchidhatch.gateway.endpoints import EndpointListKind
 from orchidhatch.gateway.events import EndpointList, PeerMessage
-from orchidhatch.gateway.gossip import GossipMessage
-from tests.gateway.quota_scenarios import all_customers
+from orchidhatch.gateway.gossip import GossipMessage, MessageKind
+from orchidhatch.gateway.snapshots import CustomerKey
+from tests.gateway.quota_scenarios import CAPPED, all_customers
 from tests.helpers import MS, PLAN, SETTINGS, S, Set, World, of
 
 
@@ -47,3 +48,43 @@
     assert customer.leader_slots.in_use(world.now) == 1
     assert customer.quota.set_level == 0
     assert not of(SendGossip, [action for _, action in world.log])
+
+
+def test_report_of_spending_is_answered_while_the_level_is_low() -> None:
+    world = World(replace(SETTINGS, gateway_count=2))
+    led_here = (0, 0, 0, 2)
+    report = GossipMessage(*led_here, level=20.0, spent=4.0)
+    assert not of(SendGossip, world.tell(PeerMessage(1, (report,))))
+    assert not of(SendGossip, world.tell(PeerMessage(1, (report,))))
+    (send,) = of(SendGossip, world.tell(PeerMessage(1, (report,))))
+    (answer,) = send.messages
+    assert answer.kind is MessageKind.LEADER_ANSWER
+    assert answer.level == 8.0
+    assert not answer.answers_grant_request
+
+
+def test_granted_slot_takes_units_of_the_leaders_ceiling() -> None:
+    world = World(replace(SETTINGS, gateway_count=3, plans=(CAPPED,)))
+    world.run(4 * S)
+    customer = world.gateway.quotas.customer(CustomerKey(0, 0, 0, 3))
+    before = customer.ceiling.units
+    world.tell(PeerMessage(1, (GossipMessage(*customer.key, requested=-2.0),)))
+    assert before >= 2.0
+    assert customer.ceiling.units == before - 2.0
+
+
+def test_ceded_ceiling_is_not_received_beside_a_handover_peer() -> None:
+    """The peer's process would use it too."""
+    for has_peer in (False, True):
+        world = World(replace(SETTINGS, gateway_count=3, plans=(CAPPED,)))
+        world.gateway.context.has_handover_peer = has_peer
+        customer = world.gateway.quotas.customer(CustomerKey(0, 0, 0, 3))
+        world.tell(PeerMessage(1, (GossipMessage(*customer.key),)))
+        assert bool(customer.ceiling.received_until_us) is not has_peer
+
+
+def test_own_requests_take_their_turn_for_a_free_slot() -> None:
+    leader = World().gateway.quotas.leader
+    assert all(leader.is_turn_of_own_requests(0) for _ in range(100))
+    turns = sum(leader.is_turn_of_own_requests(3) for _ in range(4000))
+    assert turns == pytest.approx(1000, abs=150)
--- a/tests/gateway/test_quota_leaders.py
+++ b/tests/gateway/test_quota_leaders.py
@@ -4,6 +4,8 @@
 
 from orchidhatch.gateway.events import PeerMessage
 from orchidhatch.gateway.gossip import GossipMessage
+from orchidhatch.gateway.quota_leaders import IDLE_CUSTOMER_TTL_US
+from orchidhatch.gateway.snapshots import CustomerKey
 from tests.helpers import SETTINGS, S, World
 
 
@@ -25,3 +27,14 @@
         world.answer(f"r{number}")
     world.run(90 * S)
     assert not world.gateway.quotas.customers
+
+
+def test_customer_is_forgotten_after_its_idle_time_only() -> None:
+    quotas = World().gateway.quotas
+    quotas.customer(CustomerKey(1, 0, 0, 1))
+    quotas.context.now_us += IDLE_CUSTOMER_TTL_US
+    quotas.forget_idle()
+    assert len(quotas.customers) == 1
+    quotas.context.now_us += 1
+    quotas.forget_idle()
+    assert not quotas.customers
--- a/tests/gateway/test_quota_member.py
+++ b/tests/gateway/test_quota_member.py
@@ -8,9 +8,12 @@
 from orchidhatch.gateway.actions import Fail, Reject, SendAttempt, SendGossip
 from orchidhatch.gateway.endpoints import EndpointListKind
 from orchidhatch.gateway.events import EndpointList, PeerMessage
-from orchidhatch.gateway.gossip import GossipMessage
+from orchidhatch.gateway.gossip import GossipMessage, MessageKind, SlotGrant
+from orchidhatch.gateway.leader_requests import LEADER_REPLY_TIMEOUT_US
+from orchidhatch.gateway.rate_ceiling import CEDED_SHARE_US
 from orchidhatch.gateway.settings import Idempotency, Plan, RequestClass
 from orchidhatch.gateway.snapshots import CustomerKey
+from tests.gateway.quota_scenarios import CAPPED
 from tests.helpers import MS, PLAN, SETTINGS, S, Set, World, of
 
 UNSAFE = RequestClass(2 * S, 6 * S, idempotency=Idempotency.UNSAFE)
@@ -75,3 +78,30 @@
     assert not of(SendGossip, world.run(MS))
     world.now += S  # 1.2
     assert of(SendGossip, world.ask("later", set_size=40))
+
+
+@pytest.fixture
+def member() -> World:
+    """A gateway that does not lead the customer "c" of a set of three, whose slots its leader grants."""
+    leader = zlib.crc32(b"c") % 3
+    return World(replace(SETTINGS, gateway_count=3, gateway_index=(leader + 1) % 3, plans=(CAPPED,)))
+
+
+def test_unused_slot_is_reported_to_the_leader(member: World) -> None:
+    customer = member.gateway.quotas.customer(CustomerKey(zlib.crc32(b"c"), 0, 0, 3))
+    grant = GossipMessage(*customer.key, True, requested=-1.0, slot_grant=SlotGrant.GRANTED)
+    member.tell(PeerMessage(customer.leader, (grant,)))
+    assert customer.member_slot.is_usable(member.now)
+    (send,) = of(SendGossip, member.run(LEADER_REPLY_TIMEOUT_US + 2 * 20 * MS))
+    (report,) = send.messages
+    assert report.kind is MessageKind.REPORT
+    assert not member.gateway.quotas.member.renewals
+
+
+def test_report_cedes_the_share_of_the_ceiling(member: World) -> None:
+    quotas = member.gateway.quotas
+    customer = quotas.customer(CustomerKey(zlib.crc32(b"c"), 0, 0, 3))
+    quotas.context.now_us += 10 * S
+    quotas.report_in_flight(customer)
+    assert customer.ceiling.ceded_until_us == quotas.context.now_us + CEDED_SHARE_US
+    assert customer.member_slot.reported_us == quotas.context.now_us
--- a/tests/gateway/test_rate_ceiling.py
+++ b/tests/gateway/test_rate_ceiling.py
@@ -6,10 +6,15 @@
 import pytest
 
 from orchidhatch.gateway.actions import SendAttempt
+from orchidhatch.gateway.quota import Customer
+from orchidhatch.gateway.rate_ceiling import CEDED_SHARE_US, RECEIVED_SHARE_US, RateCeiling
 from orchidhatch.gateway.settings import Plan
+from orchidhatch.gateway.snapshots import CustomerKey
 from tests.gateway.quota_scenarios import CAPPED, attempt_times, drive_capped
 from tests.helpers import MS, SETTINGS, S, Set, World, of
 
+NOW_US = 100 * S
+
 
 def test_ceiling_starts_empty_and_is_split() -> None:
     plan = Plan(ceiling_rate=10.0, ceiling_burst=20.0)
@@ -64,3 +69,91 @@
         lowest = min(lowest, level)
     assert lowest >= -1.2 - 10 * 0.15  # the slack, and what the rate gives in 150 ms
     assert gateways.sent() >= 100
+
+
+@pytest.fixture
+def ceiling() -> RateCeiling:
+    return RateCeiling(Plan(ceiling_rate=4.0, ceiling_burst=40.0), size=2)
+
+
+def test_ceded_share_is_not_refilled(ceiling: RateCeiling) -> None:
+    ceiling.cede(NOW_US)
+    end_us = NOW_US + CEDED_SHARE_US
+    ceiling.refill(NOW_US, end_us)
+    assert ceiling.units == 0.0
+    ceiling.refill(end_us - S, end_us + S)
+    assert ceiling.units == 2.0
+
+
+def test_received_share_refills_for_its_time(ceiling: RateCeiling) -> None:
+    ceiling.receive(1, NOW_US)
+    ceiling.refill(NOW_US, NOW_US + S)
+    assert ceiling.units == 4.0
+    shortly_before_us = NOW_US + RECEIVED_SHARE_US - S // 2
+    ceiling.refill(NOW_US + S, shortly_before_us)
+    assert ceiling.units == 4.0 + 2.0
+    ceiling.refill(shortly_before_us, NOW_US + RECEIVED_SHARE_US + S)
+    assert ceiling.units == 6.0 + 1.0 + 3.0
+    assert not ceiling.received_until_us
+
+
+def test_received_share_ends_before_it_is_ceded() -> None:
+    assert RECEIVED_SHARE_US < CEDED_SHARE_US
+
+
+def test_dropped_share_refills_no_more(ceiling: RateCeiling) -> None:
+    ceiling.receive(1, NOW_US)
+    ceiling.drop_received()
+    ceiling.refill(NOW_US, NOW_US + S)
+    assert ceiling.units == 2.0
+
+
+def test_refill_stops_at_the_local_share_of_the_burst(ceiling: RateCeiling) -> None:
+    ceiling.refill(NOW_US, NOW_US + 60 * S)
+    assert ceiling.units == 20.0
+
+
+def test_idle_customer_refills_but_for_what_it_ceded(ceiling: RateCeiling) -> None:
+    ceiling.refill_idle(4 * S)
+    assert ceiling.units == 8.0
+    ceiling.cede(NOW_US)
+    ceiling.refill_idle(4 * S)
+    assert ceiling.units == 2.0
+
+
+def test_only_a_ceiling_with_too_few_units_lacks_them(ceiling: RateCeiling) -> None:
+    ceiling.add(3.0)
+    assert not ceiling.lacks(3.0)
+    assert ceiling.lacks(3.1)
+    assert ceiling.wait_us(5.0) == S
+    ceiling.take(4.0)
+    assert ceiling.units == -1.0
+    assert not RateCeiling(Plan(), size=2).lacks(1.0)
+
+
+def test_only_a_cession_is_extended(ceiling: RateCeiling) -> None:
+    ceiling.extend_cession(NOW_US)
+    assert ceiling.ceded_until_us == 0
+    ceiling.cede(NOW_US)
+    ceiling.extend_cession(NOW_US + S)
+    assert ceiling.ceded_until_us == NOW_US + S + CEDED_SHARE_US
+
+
+def test_member_cedes_its_share_from_the_start() -> None:
+    """The leader may use the share by the reports of others of the member's earlier process."""
+    settings = replace(SETTINGS, gateway_count=3, gateway_index=1)
+    member = Customer(CAPPED, CustomerKey(0, 0, 0, 3), settings, NOW_US)
+    assert member.ceiling.ceded_until_us == NOW_US + CEDED_SHARE_US
+    leader = Customer(CAPPED, CustomerKey(1, 0, 0, 3), settings, NOW_US)
+    assert leader.ceiling.ceded_until_us == 0
+
+
+def test_member_cedes_its_share_under_a_plan_with_slots() -> None:
+    settings = replace(SETTINGS, gateway_count=3, gateway_index=1)
+    uncapped = replace(CAPPED, max_in_flight=0)
+    member = Customer(uncapped, CustomerKey(0, 0, 0, 3), settings, NOW_US)
+    assert member.ceiling.ceded_until_us == 0
+    member.change_plan(CAPPED, 0, NOW_US + S)
+    assert member.ceiling.ceded_until_us == NOW_US + S + CEDED_SHARE_US
+    member.change_plan(CAPPED, 0, NOW_US + 2 * S)
+    assert member.ceiling.ceded_until_us == NOW_US + S + CEDED_SHARE_US
