--- a/orchidhatch/control/agent/gateway_steering.py
+++ b/orchidhatch/control/agent/gateway_steering.py
@@ -14,7 +14,7 @@
 from orchidhatch.control.agent.gateway_config import GatewayConfigFile
 from orchidhatch.control.agent.gateway_process import GatewayProcess
 from orchidhatch.control.agent.policy_documents import PolicyDocuments
-from orchidhatch.control.agent.policy_lease import PolicyLease
+from orchidhatch.control.agent.policy_lease import PolicyLeaseClient
 from orchidhatch.control.policy.document import InvalidPolicyError
 from orchidhatch.control.policy.timing import AGENT_START_GRACE_S
 
@@ -27,10 +27,10 @@
 class EndpointWatches(Protocol):
     """The watches of this agent's endpoint list, by which the gateway notices that its agent is alive."""
 
-    def suspend_watches(self) -> None:
+    def suspend(self) -> None:
         """End all watches and accept none."""
 
-    def resume_watches(self) -> None:
+    def resume(self) -> None:
         """Accept watches again."""
 
 
@@ -46,7 +46,7 @@
         gateway: GatewayClient,
         config_file: GatewayConfigFile,
         process: GatewayProcess,
-        lease: PolicyLease,
+        lease: PolicyLeaseClient,
         documents: PolicyDocuments,
         watches: EndpointWatches,
         clock: Callable[[], float],
@@ -98,23 +98,23 @@
         if self.gateway.state.policy != AppliedPolicy(self._lease.decision.number, permitted):
             await self._switch_to(permitted)
             return
-        self._watches.resume_watches()
+        self._watches.resume()
         if status != HTTPStatus.OK:
             await self.gateway.resume_admission()
 
     async def _suspend(self, status: int | None) -> None:
         """Have the gateway admit no clients.
 
-        One that cannot be told so hears nothing from this agent either, and suspends admission by itself.
+        One that cannot be reached is not sent the endpoint list either, and suspends admission by itself.
         """
         if status == HTTPStatus.OK:
             self.suspensions += 1
             log.warning("admission suspended: lease_remaining_s=%.1f", self._lease.remaining_s())
-        is_out_of_service = status is not None and status != HTTPStatus.OK
-        if is_out_of_service or await self.gateway.suspend_admission():
-            self._watches.resume_watches()
+        is_suspended = status is not None and status != HTTPStatus.OK
+        if is_suspended or await self.gateway.suspend_admission():
+            self._watches.resume()
         else:
-            self._watches.suspend_watches()
+            self._watches.suspend()
 
     async def _switch_to(self, digest: str) -> None:
         """Have the gateway serve by this document; one that does not is taken out of service."""
--- a/orchidhatch/faults/seeded_defects.py
+++ b/orchidhatch/faults/seeded_defects.py
@@ -22,7 +22,7 @@
 
 
 def answer_twice() -> None:
-    from orchidhatch.proxy.clients import Reply
+    from orchidhatch.proxy.reply import Reply
 
     send, count = Reply.send, 0
 
@@ -109,14 +109,14 @@
     from orchidhatch.control.ownership.claims import ClaimsTransaction
 
     ClaimsTransaction.check = lambda self, fence: None
-    carry_out = GatewayCalls.carry_out
+    execute = GatewayCalls.execute
 
     async def unchecked(self: GatewayCalls, fenced_call: Any) -> Any:  # noqa: ANN401
         self.fences.epochs.clear()
-        self.fences.act_numbers.clear()
-        return await carry_out(self, fenced_call)
+        self.fences.call_numbers.clear()
+        return await execute(self, fenced_call)
 
-    GatewayCalls.carry_out = unchecked
+    GatewayCalls.execute = unchecked
 
 
 def decide_unready() -> None:
@@ -147,7 +147,7 @@
     """Neither the claim nor what was read before holds a decision back."""
     from orchidhatch.control.ownership.claims import ClaimsTransaction
     from orchidhatch.control.ownership.writes import PutRecord
-    from orchidhatch.control.policy.records import DECISION_RECORD
+    from orchidhatch.control.policy.policy_records import DECISION_RECORD
 
     ClaimsTransaction.check = lambda self, fence: None
     put_record = ClaimsTransaction.put_record
@@ -177,7 +177,7 @@
 
 def serve_departed() -> None:
     """A client's end is not noticed."""
-    from orchidhatch.proxy.clients import ClientConnection
+    from orchidhatch.proxy.client_connection import ClientConnection
 
     ClientConnection.eof_received = lambda self: True
     ClientConnection.end_if_left = lambda self: False
@@ -201,9 +201,9 @@
 
 def wait_for_odd_clients() -> None:
     """Who sends no whole command is never ended."""
-    from orchidhatch.proxy.clients import ClientConnection
+    from orchidhatch.proxy.client_connection import ClientConnection
 
-    ClientConnection.overdue = lambda self, now_s: False
+    ClientConnection.is_command_overdue = lambda self, now_s: False
 
 
 def start_at_full_speed() -> None:
