--- a/tests/gateway/test_outlier_detection.py
+++ b/tests/gateway/test_outlier_detection.py
@@ -4,8 +4,11 @@
 
 from orchidhatch.gateway.actions import SendAttempt
 from orchidhatch.gateway.attempts import AttemptResult
+from orchidhatch.gateway.decision_context import DecisionContext
 from orchidhatch.gateway.events import PeerMessage
 from orchidhatch.gateway.gossip import AttemptObservation, GossipMessage
+from orchidhatch.gateway.outlier_detection import REJECTION_EJECTION_US, OutlierDetector
+from orchidhatch.gateway.server_record import ServerRecord
 from orchidhatch.gateway.settings import Plan
 from tests.helpers import MS, PLAN, SETTINGS, S, Set, World, of, servers
 
@@ -73,3 +76,58 @@
             world.answer(name, attempt=attempt)
     sent = len(of(SendAttempt, [action for _, action in world.log]))
     assert sent == 100
+
+
+def detector_and_server() -> tuple[OutlierDetector, ServerRecord]:
+    detector = OutlierDetector(DecisionContext(SETTINGS))
+    detector.context.now_us = 100 * S
+    return detector, ServerRecord(servers(1)[0])
+
+
+def test_ejection_doubles_with_each_failed_probe_up_to_a_bound() -> None:
+    detector, server = detector_and_server()
+    detector.record_failure(server)
+    assert not detector.is_ejected(server) and not server.needs_probe
+    ejections_us = []
+    for _ in range(5):
+        detector.record_failure(server)
+        ejections_us.append(server.ejected_until_us - detector.context.now_us)
+        detector.context.now_us = server.ejected_until_us
+    assert ejections_us == [1 * S, 2 * S, 4 * S, 8 * S, 8 * S]
+
+
+def test_successes_keep_a_server_with_few_failures_from_ejection() -> None:
+    detector, server = detector_and_server()
+    for _ in range(20):
+        detector.record_failure(server)
+        detector.record_success(server)
+        detector.record_success(server)
+    assert not detector.is_ejected(server) and not server.needs_probe
+
+
+def test_successful_probe_readmits_a_server() -> None:
+    detector, server = detector_and_server()
+    detector.record_failure(server)
+    detector.record_failure(server)
+    detector.context.now_us = server.ejected_until_us
+    detector.record_success(server)
+    assert not server.needs_probe and server.failure_score == 0.0 and server.ejection_us == 0
+    assert server.recovered_us == detector.context.now_us
+
+
+def test_failed_probe_ejects_whatever_the_failure_score() -> None:
+    """As after a readmission by an operator, which starts the score anew."""
+    detector, server = detector_and_server()
+    detector.require_probe(server)
+    detector.record_failure(server)
+    assert detector.is_ejected(server)
+
+
+def test_rejection_ejects_for_a_service_time_without_a_probe() -> None:
+    detector, server = detector_and_server()
+    detector.record_rejection(server)
+    assert detector.is_ejected(server) and not server.needs_probe
+    assert server.ejected_until_us == detector.context.now_us + REJECTION_EJECTION_US
+    server.ejected_until_us += 5 * S
+    detector.record_rejection(server)
+    assert server.ejected_until_us == detector.context.now_us + REJECTION_EJECTION_US + 5 * S
