--- a/orchidhatch/gateway/candidates.py
+++ b/orchidhatch/gateway/candidates.py
@@ -80,7 +80,7 @@
     def _excluded(self, request: InFlightRequest) -> set[ServerRecord]:
         """The servers up that are excluded for a request; none where that would be all of them."""
         index = self.index
-        unhealthy = index.suspects_at(self.context.now_us) if index.unhealthy else ()
+        unhealthy = index.unhealthy_at(self.context.now_us) if index.unhealthy else ()
         inspected = [*unhealthy, *request.servers]
         excluded = {
             server for server in inspected if self.is_excluded(request, server) and index.is_up(server)
--- a/orchidhatch/gateway/handover.py
+++ b/orchidhatch/gateway/handover.py
@@ -74,7 +74,7 @@
         for customer_snapshot in snapshot.customers:
             if self.quotas.is_in_set(customer_snapshot.key):
                 self._restore_customer(customer_snapshot)
-        self.membership.remember(snapshot.ejections)
+        self.membership.restore_ejections(snapshot.ejections)
         for attempt in snapshot.attempts:
             self.on_attempt(attempt)
 
--- a/orchidhatch/gateway/handover_state.py
+++ b/orchidhatch/gateway/handover_state.py
@@ -41,7 +41,7 @@
         period_length_us=overload.period_length_us,
         overhead=overload.overhead,
         attempts_per_s=overload.rate,
-        usual_attempts_per_s=balancer.usual,
+        usual_attempts_per_s=balancer.slow_start.usual_rate,
     )
 
 
@@ -72,7 +72,7 @@
 
 def restore_servers(balancer: LoadBalancer, snapshot: GatewaySnapshot) -> None:
     """Restore what the predecessor had learnt of the servers that are listed here too."""
-    balancer.usual = snapshot.overload.usual_attempts_per_s
+    balancer.slow_start.usual_rate = snapshot.overload.usual_attempts_per_s
     # The predecessor may have run under settings with other classes.
     if len(snapshot.mean_latencies_us) == len(balancer.mean_us):
         balancer.mean_us = list(snapshot.mean_latencies_us)
--- a/orchidhatch/gateway/load_balancing.py
+++ b/orchidhatch/gateway/load_balancing.py
@@ -57,15 +57,6 @@
     def mean_us(self, mean_latencies_us: list[float]) -> None:
         self.averages.mean_latencies_us = mean_latencies_us
 
-    @property
-    def usual(self) -> float:
-        """First attempts a second that this gateway sends a warm server in normal operation."""
-        return self.slow_start.usual_rate
-
-    @usual.setter
-    def usual(self, attempts_per_s: float) -> None:
-        self.slow_start.usual_rate = attempts_per_s
-
     def count_warm(self) -> None:
         """Count the servers up, one that is warming up with its slow-start weight."""
         warming = self.index.in_order(self.index.warming_at(self.context.now_us))
--- a/orchidhatch/gateway/membership.py
+++ b/orchidhatch/gateway/membership.py
@@ -98,15 +98,15 @@
 
     # --- ejections by operators ---
 
-    def on_maint(self, event: SetEjection) -> None:
+    def on_set_ejection(self, event: SetEjection) -> None:
         """Eject or readmit a server as an operator says, tell the handover peer and report the result."""
         is_known = event.server in self.names
         if is_known:
-            self.leave_out(event)
+            self.set_ejection(event)
             self.context.send_to_handover_peer(HandoverEjection(event.server, event.is_ejected))
         self.context.actions.append(EjectionResult(event.server, event.is_ejected, is_known))
 
-    def leave_out(self, event: SetEjection | HandoverEjection) -> None:
+    def set_ejection(self, event: SetEjection | HandoverEjection) -> None:
         """Eject a server whatever the list says, or readmit it by a recovery probe and a slow start."""
         if self.names.get(event.server, False) == event.is_ejected:
             return
@@ -120,7 +120,7 @@
         self._update(server)
         self.balancer.count_warm()
 
-    def remember(self, ejections: tuple[HandoverEjection, ...]) -> None:
+    def restore_ejections(self, ejections: tuple[HandoverEjection, ...]) -> None:
         """Take over the ejections by operators from a predecessor's snapshot."""
         self.names.update((ejection.server, ejection.is_ejected) for ejection in ejections)
         forget_excess(self.names, MAX_KNOWN_NAMES, self.balancer.servers)
--- a/orchidhatch/gateway/metrics.py
+++ b/orchidhatch/gateway/metrics.py
@@ -106,7 +106,7 @@
     def count_outliers(self) -> int:
         """How many servers outlier detection has ejected."""
         index = self.balancer.index
-        return len(index.in_order(index.suspects_at(self.context.now_us)))
+        return len(index.in_order(index.unhealthy_at(self.context.now_us)))
 
     # --- wait times ---
 
--- a/orchidhatch/gateway/server_index.py
+++ b/orchidhatch/gateway/server_index.py
@@ -142,7 +142,7 @@
             del self.warming[server]
         return list(self.warming)
 
-    def suspects_at(self, now_us: int) -> list[ServerRecord]:
+    def unhealthy_at(self, now_us: int) -> list[ServerRecord]:
         """The servers ejected at that time or in need of a recovery probe; the others leave `unhealthy`."""
         readmitted = [
             server
--- a/tests/gateway/test_handover.py
+++ b/tests/gateway/test_handover.py
@@ -85,14 +85,14 @@
         predecessor.run(50 * MS)
         predecessor.answer(f"r{n}")
     (sent,) = of(SendAttempt, predecessor.ask("last"))
-    predecessor.gateway.balancer.usual = 12.0
+    predecessor.gateway.balancer.slow_start.usual_rate = 12.0
     snapshot = snapshot_of(predecessor)
     successor = World()
     successor.now = predecessor.now
     successor.tell(snapshot)
     balancer = successor.gateway.balancer
     assert balancer.mean_us == predecessor.gateway.balancer.mean_us != World().gateway.balancer.mean_us
-    assert balancer.usual == 12.0
+    assert balancer.slow_start.usual_rate == 12.0
     assert successor.gateway.overload.in_flight == 1
     assert list(balancer.servers[sent.server].in_flight) == [("last", 0)]
     latencies = {name: server.relative_latency for name, server in balancer.servers.items()}
--- a/tests/gateway/test_slow_start.py
+++ b/tests/gateway/test_slow_start.py
@@ -54,7 +54,7 @@
     world = World(replace(SETTINGS, plans=(Plan(),), overload_multiple=3.0))
     started = tuple(replace(fleet[n], started_us=world.now - 5 * S) for n in (2, 3))
     world.tell(EndpointList(EndpointListKind.CHANGES, 2, started))
-    world.gateway.balancer.usual = 10.0  # as it was before the restart
+    world.gateway.balancer.slow_start.usual_rate = 10.0  # as it was before the restart
     for n in range(80):
         world.ask(f"r{n}")
         world.run(25 * MS)
