--- a/orchidhatch/control/registry/backup_handlers.py
+++ b/orchidhatch/control/registry/backup_handlers.py
@@ -8,7 +8,7 @@
 from orchidhatch.control.http_response import Response
 from orchidhatch.control.ownership.objects import Fence
 from orchidhatch.control.registry.backups import Backups, BackupSummary
-from orchidhatch.control.registry.store import Store
+from orchidhatch.control.registry.store import Store, check_fence
 from orchidhatch.control.router import Request, Router
 from orchidhatch.control.schemas import read_optional_fence
 
@@ -54,7 +54,7 @@
 
         def check_and_copy() -> None:
             """Check and copy in one turn, as no write may come between them."""
-            self._store.check_fence(fence)
+            check_fence(self._store, fence)
             summaries.append(backups.create(self._store))
 
         await self._run_in_turn(check_and_copy)
--- a/orchidhatch/control/registry/endpoint_handlers.py
+++ b/orchidhatch/control/registry/endpoint_handlers.py
@@ -6,7 +6,7 @@
 from orchidhatch.control.errors import ConflictError, NotFoundError
 from orchidhatch.control.http_response import Response
 from orchidhatch.control.registry.lease_expiry import EndpointLeaseExpiry
-from orchidhatch.control.registry.store import Store
+from orchidhatch.control.registry.store import Store, check_fence
 from orchidhatch.control.registry.write_access import WriteAccess
 from orchidhatch.control.registry.write_pipeline import WritePipeline
 from orchidhatch.control.responses import (
@@ -83,6 +83,6 @@
         """For the owner of this task: the registry's own check rests while one calls."""
         fence = read_fence(request.body)
         self._access.check_may_renew()
-        self._store.check_fence(fence)
+        check_fence(self._store, fence)
         removing = self._expiry.check_for_owner(fence)
         return Response(200, LeaseExpiryResponse(removing, self._expiry.leases.withheld))
--- a/orchidhatch/control/registry/store.py
+++ b/orchidhatch/control/registry/store.py
@@ -144,10 +144,6 @@
         last = {self.history[at].id: at for at in range(after + 1, self.generation + 1)}
         return [self.history[at] for at in sorted(last.values())]
 
-    def check_fence(self, fence: Fence | None) -> None:
-        """Raise ConflictError unless the claim is current. For what is not a write of its own."""
-        ClaimsTransaction(self.claims_table, self.term).check(fence)
-
     # --- writes ---
 
     def apply(self, writes: Sequence[Write]) -> list[Outcome]:
@@ -228,6 +224,11 @@
         self.history.clear()
 
 
+def check_fence(store: Store, fence: Fence | None) -> None:
+    """Raise ConflictError unless the claim is current. For what is not a write of its own."""
+    ClaimsTransaction(store.claims_table, store.term).check(fence)
+
+
 def _oldest_generations(history: dict[int, Endpoint], last: int) -> Iterator[int]:
     """The generations up to this one; the oldest stand first."""
     for generation in history:
