--- a/orchidhatch/gateway/request_queue.py
+++ b/orchidhatch/gateway/request_queue.py
@@ -33,7 +33,7 @@
 
 
 class RequestQueue:
-    """Queued requests, highest priority weight first, then by arrival (DESIGN, held requests).
+    """Queued requests, highest priority weight first, then by arrival (DESIGN).
 
     Each waits for an admission under the overload control's limit, a concurrency slot and units under the
     rate ceiling of its customer, and a server; one that was sent before waits for a server only.
@@ -69,7 +69,7 @@
         return any(request.customer is customer and not request.servers for request in self)
 
     def enqueue(self, request: InFlightRequest) -> None:
-        """Add a request in its place."""
+        """Add a request behind those of its priority."""
         request.queued_us = self.context.now_us
         request.decide_at_us = NEVER
         insort(self.entries, (-request.priority, next(self.serials), request))
--- a/tests/gateway/test_overload.py
+++ b/tests/gateway/test_overload.py
@@ -26,7 +26,7 @@
         (100, 100, 0.98, 0.10, 83),  # 0.82 / 0.88 * 100 = 93.18, times 0.9 at occ_too_high = 83.86
         (100, 20, 0.98, 0.10, 81),  # both steps down
         (3, 4, 0.80, 0.10, 4),  # 4.69 is 1 more than 3 and the step under 1: up by one
-        (100, 70, 0.50, 0.10, 100),  # low occupancy and few calls: held
+        (100, 70, 0.50, 0.10, 100),  # low occupancy and few calls: not updated
         (100, 90, 0.50, 0.60, 120),  # at or below overhead: the largest step
         (1, 0, 0.99, 0.10, 1),  # never under one
     ],
