--- a/orchidhatch/gateway/handover_codec.py
+++ b/orchidhatch/gateway/handover_codec.py
@@ -3,7 +3,7 @@
 import math
 from dataclasses import fields, is_dataclass
 from functools import cache
-from typing import Any, get_args, get_origin, get_type_hints
+from typing import Any, TypeGuard, get_args, get_origin, get_type_hints
 
 from orchidhatch.gateway.snapshots import (
     HandoverAttempt,
@@ -13,9 +13,12 @@
     HandoverSpend,
 )
 
-TEXT_LIMIT = 256  # characters of one text
-ROWS_LIMIT = 100_000  # items of one list
-WHOLE_LIMIT = 1 << 63  # of a whole number, either way
+TEXT_LIMIT = 256
+"""Characters of one text."""
+ROWS_LIMIT = 100_000
+"""Items of one list."""
+WHOLE_LIMIT = 1 << 63
+"""Of a whole number, either way."""
 
 MESSAGE_KINDS: dict[str, type[HandoverMessage]] = {
     "TwinSpend": HandoverSpend,
@@ -37,11 +40,13 @@
 
 def from_plain(kind: Any, value: object) -> Any:  # noqa: ANN401 - it gives whatever kind is asked for
     """The reverse of `to_plain`; a ValueError where a value is not of its field's kind."""
-    if kind is float and type(value) in (int, float) and math.isfinite(value):
+    if kind is float and is_number(value) and math.isfinite(value):
         return float(value)
     if kind is int and type(value) is int and abs(value) < WHOLE_LIMIT:
         return value
-    if type(value) is kind and (kind is bool or (kind is str and len(value) <= TEXT_LIMIT)):
+    if kind is bool and isinstance(value, bool):
+        return value
+    if kind is str and isinstance(value, str) and len(value) <= TEXT_LIMIT:
         return value
     if isinstance(value, list) and get_origin(kind) is tuple and len(value) <= ROWS_LIMIT:
         item_kind = get_args(kind)[0]
@@ -53,6 +58,11 @@
     raise ValueError(f"{value!r:.40} is no {kind}")
 
 
+def is_number(value: object) -> TypeGuard[int | float]:
+    """Whether a value is a number; a bool is none."""
+    return type(value) in (int, float)
+
+
 @cache
 def field_kinds(kind: type) -> tuple[Any, ...]:
     """The types of a record's fields, in order."""
--- a/orchidhatch/proxy/client_connection.py
+++ b/orchidhatch/proxy/client_connection.py
@@ -135,9 +135,9 @@
         except ProtocolError as error:
             self.clients.metrics.malformed_streams += 1
             self.finish(b"-ERR Protocol error: %b\r\n" % str(error).encode())
-        except Exception as error:
+        except Exception:
             # An internal fault costs this connection only, which still answers what it owes.
-            log.exception("client connection failed: error=%r", error)
+            log.exception("client connection failed")
             self._fail_replies()
             self.finish(INTERNAL_ERROR)
         self._end_taking()
