--- a/orchidhatch/gateway/quota_leader.py
+++ b/orchidhatch/gateway/quota_leader.py
@@ -47,25 +47,31 @@
         customer.clear_unreported()
 
     def on_report(self, customer: Customer, message: GossipMessage, sender: int) -> None:
-        """Add up what a member requested and spent, and answer a request for a grant."""
+        """Add up what a member requested and spent, and answer what it requests."""
         now_us = self.context.now_us
         customer.demand.add_reported(message.demand)
         customer.spend(message.spent)
-        kind = message.kind
-        has_ended = kind is MessageKind.REPORT
+        has_ended = message.kind is MessageKind.REPORT
         customer.leader_slots.on_report(sender, message.in_flight, has_ended, now_us)
-        shares_slots = customer.shares_slots()
-        if shares_slots and not self.context.has_handover_peer:
+        if customer.shares_slots() and not self.context.has_handover_peer:
             customer.ceiling.receive(sender, now_us)
-        requests_grant = kind is MessageKind.GRANT_REQUEST
-        granted = customer.chance(message.requested) if requests_grant else 0.0
-        if shares_slots and (kind is MessageKind.SLOT_REQUEST or granted):
-            # A request that is granted units needs a slot at once.
-            customer.leader_slots.enqueue(sender, message.requested_units, now_us)
+        self.answer_report(customer, message, sender)
+
+    def answer_report(self, customer: Customer, message: GossipMessage, sender: int) -> None:
+        """Answer a grant request, queue a slot request, and answer a report while the level is low.
+
+        The units of a grant request count as spent by the chance of its admission.
+        """
+        requests_grant = message.kind is MessageKind.GRANT_REQUEST
+        grant_chance = customer.chance(message.requested) if requests_grant else 0.0
+        # A request that is granted units needs a slot at once.
+        requests_slot = message.kind is MessageKind.SLOT_REQUEST or grant_chance > 0
+        if customer.shares_slots() and requests_slot:
+            customer.leader_slots.enqueue(sender, message.requested_units, self.context.now_us)
         is_level_low = message.spent > 0 and customer.quota.set_level < customer.plan.burst / 2
         if requests_grant or is_level_low:
             self.answer(sender, customer, message.requested if requests_grant else 0.0)
-        customer.spend(message.requested * granted)
+        customer.spend(message.requested * grant_chance)
 
     def grant_slots(self, customer: Customer) -> None:
         """Grant free slots to the members that wait longest.
@@ -90,8 +96,8 @@
         """Whether a free slot is left to the requests queued here, at random among all that wait."""
         return self.context.random.random() * (1 + waiting_peers) < 1
 
-    def queue_slot_request(self, peer: int, customer: Customer) -> None:
-        """Answer a gateway that its request for a slot is queued, if it is."""
+    def answer_if_queued(self, peer: int, customer: Customer) -> None:
+        """Answer a gateway whose request for a slot is queued."""
         if peer in customer.leader_slots.queue:
             self.answer(peer, customer, slot_grant=SlotGrant.QUEUED)
 
--- a/orchidhatch/gateway/quota_leaders.py
+++ b/orchidhatch/gateway/quota_leaders.py
@@ -158,7 +158,7 @@
                 reported[key] = customer
         for customer in reported.values():
             self.leader.grant_slots(customer)
-            self.leader.queue_slot_request(sender, customer)
+            self.leader.answer_if_queued(sender, customer)
 
     # --- concurrency slots and the rate ceiling ---
 
--- a/tests/gateway/test_member_slot.py
+++ b/tests/gateway/test_member_slot.py
@@ -123,6 +123,6 @@
     assert slot.due_us() == NOW_US + LEADER_REPLY_TIMEOUT_US
 
 
-def test_least_amount_of_a_slot_request_asks_for_no_ceiling_units() -> None:
+def test_slot_only_request_takes_no_ceiling_units() -> None:
     assert ceiling_units_of(SLOT_ONLY_UNITS) == 0.0
     assert ceiling_units_of(1.0) == 1.0
--- a/tests/gateway/test_policy_change.py
+++ b/tests/gateway/test_policy_change.py
@@ -48,7 +48,8 @@
     assert after.in_flight == 0
 
 
-def test_suspended_and_banned_are_rejected_and_other_policies_ignored() -> None:
+def test_suspended_and_banned_requests_are_rejected() -> None:
+    """Messages of gateways under another policy are ignored."""
     world = World(replace(SETTINGS, gateway_count=2))
     world.tell(SuspendAdmission(True))
     assert of(Reject, world.ask("a"))
