--- a/orchidhatch/gateway/handover.py
+++ b/orchidhatch/gateway/handover.py
@@ -74,7 +74,7 @@
         for customer_snapshot in snapshot.customers:
             if self.quotas.is_in_set(customer_snapshot.key):
                 self._restore_customer(customer_snapshot)
-        self.membership.remember(snapshot.ejections)
+        self.membership.restore_ejections(snapshot.ejections)
         for attempt in snapshot.attempts:
             self.on_attempt(attempt)
 
@@ -103,7 +103,7 @@
         customer.attempt_began()
         self.overload.in_flight += 1
         if event.units > 0:
-            self.overload.admitted += 1
+            self.overload.admitted_this_period += 1
         if server:
             self.balancer.attempt_began(server, name, event.sent_us)
             server.credit -= 1
--- a/tests/gateway/test_peer_outbox.py
+++ b/tests/gateway/test_peer_outbox.py
@@ -6,7 +6,7 @@
 
 from orchidhatch.gateway.actions import SendGossip
 from orchidhatch.gateway.attempts import AttemptResult
-from orchidhatch.gateway.constants import CC_PERIOD_US, MOST_PERIODS
+from orchidhatch.gateway.constants import MAX_CONTROL_PERIOD_US
 from orchidhatch.gateway.decision_context import DecisionContext
 from orchidhatch.gateway.gossip import AttemptObservation, GossipMessage
 from orchidhatch.gateway.peer_outbox import BURST_MESSAGES, MESSAGES_LIMIT, PeerOutbox
@@ -96,7 +96,7 @@
 
 def test_observation_past_the_longest_period_is_not_sent(outbox: PeerOutbox) -> None:
     outbox.add_observation(observation(1))
-    outbox.context.now_us = MOST_PERIODS * CC_PERIOD_US
+    outbox.context.now_us = MAX_CONTROL_PERIOD_US
     outbox.add_observation(observation(2))
     outbox.add(PEER, MESSAGE)
     assert [send.observations for send in sent(outbox)] == [(observation(2),)]
