--- a/tests/gateway/test_handover.py
+++ b/tests/gateway/test_handover.py
@@ -28,7 +28,7 @@
     for _ in range(2):
         world.tell(peer_attempt(world))
     assert world.gateway.overload.in_flight == 1
-    assert world.gateway.overload.admitted == 1
+    assert world.gateway.overload.admitted_this_period == 1
     assert list(balancer.servers["s0"].in_flight) == [("a", 0)]
     assert balancer.servers["s0"].credit == credit - 1
     for _ in range(2):
@@ -41,7 +41,7 @@
     world = World()
     world.tell(peer_attempt(world, units=0.0))
     assert world.gateway.overload.in_flight == 1
-    assert world.gateway.overload.admitted == 0
+    assert world.gateway.overload.admitted_this_period == 0
 
 
 def test_spending_of_the_peer_leaves_less_quota() -> None:
