--- a/orchidhatch/proxy/command_parser.py
+++ b/orchidhatch/proxy/command_parser.py
@@ -5,7 +5,8 @@
 
 from orchidhatch.gateway.events import Request
 from orchidhatch.gateway.settings import Idempotency
-from orchidhatch.proxy.config import MOST_US, Config
+from orchidhatch.proxy.config import Config
+from orchidhatch.proxy.config_reader import MAX_TIME_US
 
 QUERY = b"SVC.QUERY"
 SUBMIT = b"SVC.SUBMIT"
@@ -59,7 +60,7 @@
         self.settings = config.settings
 
     def parse(
-        self, arguments: list[bytes], answer_margin_us: int, max_time_left_us: int = MOST_US
+        self, arguments: list[bytes], answer_margin_us: int, max_time_left_us: int = MAX_TIME_US
     ) -> Command:
         """Parse a command.
 
--- a/orchidhatch/proxy/configuration_reload.py
+++ b/orchidhatch/proxy/configuration_reload.py
@@ -54,4 +54,4 @@
         self.peers.policy_mark = new.policy_mark
         self.policy_guard.policy = config.policy
         self.policy_guard.begin(is_suspended=False)
-        log.info("goes by %s", config.policy.shown())
+        log.info("goes by %s", config.policy.log_text())
--- a/orchidhatch/proxy/main.py
+++ b/orchidhatch/proxy/main.py
@@ -10,14 +10,14 @@
 
 import uvloop
 
-from orchidhatch.proxy.config import Config, ConfigError, describe, load, reload
+from orchidhatch.proxy.config import Config, ConfigError, describe
+from orchidhatch.proxy.config_reader import load, reload
 from orchidhatch.proxy.log_writer import LogWriter
 from orchidhatch.proxy.reload_signal import ReloadSignal
 from orchidhatch.proxy.server import GatewayServer
 
 log = logging.getLogger("orchidhatch.proxy")
 
-
 START_ATTEMPTS = 5
 START_RETRY_S = 0.2
 
@@ -43,9 +43,9 @@
     gateway = GatewayServer(config, writer)
     reload_signal = ReloadSignal(lambda: reload(os.environ), gateway.reload)
     loop.add_signal_handler(signal.SIGHUP, reload_signal.received)
-    signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})  # one that came meanwhile is answered now
+    signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})  # one that came meanwhile is handled now
     await gateway.start()
-    # What lives as long as the process need not be looked through by every collection.
+    # The garbage collector need not traverse what lives as long as the process.
     gc.collect()
     gc.freeze()
     log.info("%s serves at %s:%d", config.name, *config.listen)
@@ -59,6 +59,7 @@
 
 
 def run(config: Config) -> None:
+    """Serve until the process is told to end; the log is written by a thread of its own."""
     writer = LogWriter()
     logging.basicConfig(
         handlers=[writer], level=logging.INFO, format="%(asctime)s %(levelname)s %(name)s: %(message)s"
@@ -71,6 +72,7 @@
 
 
 def main() -> int:
+    """Run a gateway, or check its configuration with --check; the exit code."""
     try:
         config = load_at_start()
         if sys.argv[1:] == ["--check"]:
--- a/orchidhatch/proxy/policy_guard.py
+++ b/orchidhatch/proxy/policy_guard.py
@@ -105,4 +105,4 @@
 
     def description(self) -> str:
         """The policy as a suffix for the answer of the health check."""
-        return f"; {self.policy.shown()}" if self.policy else ""
+        return f"; {self.policy.log_text()}" if self.policy else ""
--- a/orchidhatch/proxy/request_lifecycle.py
+++ b/orchidhatch/proxy/request_lifecycle.py
@@ -23,7 +23,7 @@
 from orchidhatch.proxy.clients import Clients
 from orchidhatch.proxy.clock import now_us
 from orchidhatch.proxy.command_parser import CommandError
-from orchidhatch.proxy.config import MOST_US
+from orchidhatch.proxy.config_reader import MAX_TIME_US
 from orchidhatch.proxy.guards import Guard, Refusal
 from orchidhatch.proxy.loop_watch import LoopWatch
 from orchidhatch.proxy.metrics import RequestMetrics, RequestOutcome
@@ -118,7 +118,7 @@
     def _max_time_left_us(self) -> int:
         """How long a request may take that comes now: while this process is sure to live."""
         if self.last_answer_us is None:
-            return MOST_US
+            return MAX_TIME_US
         return max(0, self.last_answer_us - now_us())
 
     def _traced_policy(self) -> str:
--- a/orchidhatch/proxy/server.py
+++ b/orchidhatch/proxy/server.py
@@ -31,7 +31,7 @@
 from orchidhatch.proxy.active_configuration import ActiveConfiguration
 from orchidhatch.proxy.backends import Backends
 from orchidhatch.proxy.clients import Clients
-from orchidhatch.proxy.config import LEAST_SOCKETS, SPARE_SOCKETS, Address, Config
+from orchidhatch.proxy.config import MIN_SOCKETS, SPARE_SOCKETS, Address, Config
 from orchidhatch.proxy.configuration_reload import ConfigurationReloader
 from orchidhatch.proxy.cpu_accounting import CostCategory, CpuAccounting
 from orchidhatch.proxy.endpoint_list_reader import EndpointListReader, EndpointUpdate
@@ -97,7 +97,7 @@
         self.dispatcher.connect(self.action_handlers(), self.requests.fail_over_fault)
 
     def _create_connections(self, config: Config) -> None:
-        sockets = max(LEAST_SOCKETS, self.max_descriptors) - SPARE_SOCKETS
+        sockets = max(MIN_SOCKETS, self.max_descriptors) - SPARE_SOCKETS
         max_clients = round(sockets * CLIENT_SOCKET_SHARE)
         self.backends = Backends(
             config.conn_idle_us,
--- a/tests/control/agent/lease_fixture.py
+++ b/tests/control/agent/lease_fixture.py
@@ -12,7 +12,7 @@
 from orchidhatch.control.policy.timing import AGENT_START_GRACE_S
 from orchidhatch.control.registry.service import Registry
 from orchidhatch.control.registry.store import Store
-from orchidhatch.proxy.config import load
+from orchidhatch.proxy.config_reader import load
 from orchidhatch.proxy.server import GatewayServer
 from tests.control.policy.helpers import FakeClock, registry_on_clock, settle
 from tests.control.registry.helpers import address_of, call
--- a/tests/proxy/test_main.py
+++ b/tests/proxy/test_main.py
@@ -13,7 +13,8 @@
 
 import pytest
 
-from orchidhatch.proxy.config import ConfigError, load
+from orchidhatch.proxy.config import ConfigError
+from orchidhatch.proxy.config_reader import load
 from tests.sockets import (
     CUSTOMER,
     HOST,
--- a/tests/proxy/test_policy_admission.py
+++ b/tests/proxy/test_policy_admission.py
@@ -8,7 +8,8 @@
 import pytest
 
 from orchidhatch.gateway.settings import Plan
-from orchidhatch.proxy.config import ConfigError, Policy, load
+from orchidhatch.proxy.config import ConfigError, Policy
+from orchidhatch.proxy.config_reader import load
 from orchidhatch.proxy.policy_guard import PolicyGuard
 from tests.control.policy.helpers import DIGEST_A, FakeClock
 from tests.gateway_config import write_gateway_config
