--- a/orchidhatch/proxy/backend_connection.py
+++ b/orchidhatch/proxy/backend_connection.py
@@ -150,11 +150,11 @@
     def buffer_updated(self, size: int) -> None:
         """So many bytes were read into the buffer."""
         account = self.pool.owner.account
-        previous_place = account.enter(Place.BACKENDS)
+        previous_category = account.enter(Place.BACKENDS)
         try:
             self.data_received(bytes(self.pool.owner.read_buffer[:size]))
         finally:
-            account.leave(previous_place)
+            account.leave(previous_category)
 
     def data_received(self, data: bytes) -> None:
         """Read a reply's bytes; a reply that is whole ends its attempt."""
--- a/orchidhatch/proxy/backends.py
+++ b/orchidhatch/proxy/backends.py
@@ -16,7 +16,7 @@
 from orchidhatch.proxy.cpu_accounting import CostCategory as Place
 from orchidhatch.proxy.cpu_accounting import CpuAccounting as Account
 from orchidhatch.proxy.guards import Guard
-from orchidhatch.proxy.idle_limit import FORGET_S, IdleLimit
+from orchidhatch.proxy.idle_limit import HALVING_INTERVAL_S, IdleLimit
 from orchidhatch.proxy.local_errors import error_name
 from orchidhatch.proxy.loop_watch import LoopWatch
 from orchidhatch.proxy.wait_queues import WaitHistogram as Waits
@@ -216,8 +216,8 @@
         """Close what has been idle for too long, and sweep again in a while if any connection is left."""
         self.sweep_is_scheduled = False
         now = now_us()
-        while now - self.idle_limit_aged_us >= FORGET_S * 1e6:
-            self.idle_limit_aged_us += round(FORGET_S * 1e6)
+        while now - self.idle_limit_aged_us >= HALVING_INTERVAL_S * 1e6:
+            self.idle_limit_aged_us += round(HALVING_INTERVAL_S * 1e6)
             self.idle_limit.age()
         before_us = now - self.idle_limit.us
         for pool in list(self.idle_pools):
@@ -231,14 +231,14 @@
         if self.sweep_is_scheduled:
             return
         self.sweep_is_scheduled = True
-        delay_s = min(MAX_SWEEP_INTERVAL_S, self.idle_limit.told_us / 4e6)
+        delay_s = min(MAX_SWEEP_INTERVAL_S, self.idle_limit.stated_us / 4e6)
         asyncio.get_running_loop().call_later(delay_s, self.account.run, Place.BACKENDS, self.sweep)
 
     # --- tasks, and the end ---
 
-    def spawn(self, job: Coroutine[None, None, None], place: Place = Place.BACKENDS) -> None:
-        """Run a task until it ends or everything does; its CPU time counts for `place`."""
-        task = asyncio.get_running_loop().create_task(self.account.steps(place, job))
+    def spawn(self, job: Coroutine[None, None, None], category: Place = Place.BACKENDS) -> None:
+        """Run a task until it ends or everything does; its CPU time counts for `category`."""
+        task = asyncio.get_running_loop().create_task(self.account.steps(category, job))
         self.tasks.add(task)  # the loop itself holds tasks only weakly
         task.add_done_callback(self.tasks.discard)
 
--- a/orchidhatch/proxy/loop_watch.py
+++ b/orchidhatch/proxy/loop_watch.py
@@ -1,7 +1,7 @@
 """Whether the event loop may have stood still: what came meanwhile is then unread, and timers go ahead of it.
 
-A process is stopped or held up without being told. A gap since the loop was last seen to run may be one, or
-may be that nothing happened; in either case sockets are looked at before an effect rests on what they told.
+A process is stopped or held up without notice. A gap since the loop was last seen to run may be one, or may
+be that nothing happened; in either case sockets are inspected before an effect relies on what was read.
 """
 
 import asyncio
@@ -10,7 +10,7 @@
 from orchidhatch.proxy.clock import now_us
 
 GAP_US = 50_000
-"""Well within the time after a client's close, or after news of a backend, in which an attempt may begin."""
+"""Well within the time after a client's close, or a backend's drain, in which an attempt may begin."""
 TURNS = 3
 """Turns of the event loop after which everything that had come by the gap's end has been read."""
 
@@ -26,7 +26,8 @@
     def touch(self) -> bool:
         """Work begins now; whether what has come may be unread."""
         now = self._clock_us()
-        gap_us, self._last_us = now - self._last_us, now
+        gap_us = now - self._last_us
+        self._last_us = now
         if gap_us >= GAP_US and not self.is_suspicious:
             self.is_suspicious = True
             self._wait_turns(TURNS)
--- a/orchidhatch/proxy/management.py
+++ b/orchidhatch/proxy/management.py
@@ -98,12 +98,12 @@
 
     def data_received(self, data: bytes) -> None:
         """Read what has come, unless the call has been answered."""
-        previous_place = self.management.account.enter(Place.MANAGEMENT)
+        previous_category = self.management.account.enter(Place.MANAGEMENT)
         try:
             if not self.has_ended():
                 self._read(data)
         finally:
-            self.management.account.leave(previous_place)
+            self.management.account.leave(previous_category)
 
     def _read(self, data: bytes) -> None:
         try:
--- a/orchidhatch/proxy/peers.py
+++ b/orchidhatch/proxy/peers.py
@@ -47,11 +47,11 @@
 
     def datagram_received(self, data: bytes, address: Address) -> None:
         """Read a datagram."""
-        previous_place = self.account.enter(Place.PEERS)
+        previous_category = self.account.enter(Place.PEERS)
         try:
             self._read(data, self.senders.get(address))
         finally:
-            self.account.leave(previous_place)
+            self.account.leave(previous_category)
 
     def _read(self, data: bytes, sender: int | None) -> None:
         if sender is None:
--- a/orchidhatch/proxy/watch_connection.py
+++ b/orchidhatch/proxy/watch_connection.py
@@ -97,7 +97,7 @@
     def data_received(self, data: bytes) -> None:
         """Read what has come; a malformed event ends the watch."""
         self.last_received_s = time.monotonic()
-        previous_place = self.account.enter(Place.DISCOVERY)
+        previous_category = self.account.enter(Place.DISCOVERY)
         try:
             self.http.receive_data(data)
             while (event := self.http.next_event()) not in (h11.NEED_DATA, h11.PAUSED):
@@ -106,7 +106,7 @@
             self._note_malformed(error)
             self.close()
         finally:
-            self.account.leave(previous_place)
+            self.account.leave(previous_category)
 
     def eof_received(self) -> None:
         """The other side has ended the connection, which ends a response that states no length.
--- a/tests/proxy/test_backend_pool.py
+++ b/tests/proxy/test_backend_pool.py
@@ -273,8 +273,8 @@
 def test_resets_after_idling_lower_the_idle_limit() -> None:
     limit = IdleLimit(15 * S)
     for n in range(40):
-        limit.note(10_000, reset=n % 10 == 0)  # some are reset whatever they did before
-        limit.note(150_000, reset=n % 10 < 4)
+        limit.note(10_000, was_reset=n % 10 == 0)  # some are reset whatever they did before
+        limit.note(150_000, was_reset=n % 10 < 4)
     assert limit.us == 131_072
     for _ in range(4):
         limit.age()
--- a/tests/proxy/test_wall_clock.py
+++ b/tests/proxy/test_wall_clock.py
@@ -68,29 +68,29 @@
 
 def test_known_start_stays_over_a_clock_step(clock: SteppedClock) -> None:
     read = EndpointListReader(CONFIG)
-    told_ms = clock.now_ms() - 5000
-    first = started_us(news_of(read, 1, "s1", told_ms, reset=True))
+    stated_ms = clock.now_ms() - 5000
+    first = started_us(news_of(read, 1, "s1", stated_ms, reset=True))
     assert abs(first - (now_us() - 5_000_000)) < NEAR_US
     for step_s in STEPS_S:
         clock.off_s = step_s
-        assert started_us(news_of(read, 2, "s1", told_ms, reset=True)) == first
-        assert started_us(news_of(read, 3, "s1", told_ms)) == first
+        assert started_us(news_of(read, 2, "s1", stated_ms, reset=True)) == first
+        assert started_us(news_of(read, 3, "s1", stated_ms)) == first
 
 
 def test_start_stays_for_backend_that_returns_to_the_list(clock: SteppedClock) -> None:
     read = EndpointListReader(CONFIG)
-    told_ms = clock.now_ms() - 5000
-    first = started_us(news_of(read, 1, "s1", told_ms, reset=True))
+    stated_ms = clock.now_ms() - 5000
+    first = started_us(news_of(read, 1, "s1", stated_ms, reset=True))
     news_of(read, 2, "s2", 0, reset=True)
-    assert started_us(news_of(read, 3, "s1", told_ms)) == first
+    assert started_us(news_of(read, 3, "s1", stated_ms)) == first
 
 
 @pytest.mark.parametrize("step_s", [0, *STEPS_S])
 def test_no_start_lies_in_the_future_at_process_start(clock: SteppedClock, step_s: int) -> None:
     read = EndpointListReader(CONFIG)
-    told_ms = clock.now_ms() - 1000
+    stated_ms = clock.now_ms() - 1000
     clock.off_s = step_s
-    known = json.loads(catalog(1, [entry("s1", AT, started_ms=told_ms)]))
+    known = json.loads(catalog(1, [entry("s1", AT, started_ms=stated_ms)]))
     found = started_us(read.read(known, EndpointListKind.SAVED))
     assert found <= now_us()
     assert found == min(found, now_us() - 1_000_000 - step_s * 1_000_000 + NEAR_US)
@@ -99,10 +99,10 @@
 @pytest.mark.parametrize("step_s", STEPS_S)
 def test_successor_adopts_predecessors_start_times(clock: SteppedClock, step_s: int) -> None:
     before, after = EndpointListReader(CONFIG), EndpointListReader(CONFIG)
-    told_ms = clock.now_ms() - 5000
-    first = started_us(news_of(before, 7, "s1", told_ms, reset=True))
+    stated_ms = clock.now_ms() - 5000
+    first = started_us(news_of(before, 7, "s1", stated_ms, reset=True))
     clock.off_s = step_s
-    assert started_us(news_of(after, 7, "s1", told_ms, reset=True)) != first
+    assert started_us(news_of(after, 7, "s1", stated_ms, reset=True)) != first
     after.adopt_starts(before.snapshot(), {"s1": first})
     assert started_us(after.read(after.snapshot(), EndpointListKind.FULL)) == first
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -13,15 +13,6 @@
 # Modules that are not in the field's terms yet, one a line: finishing a module takes its line out.
 UNFINISHED = frozenset(
     (
-        "proxy/__main__.py",
-        "proxy/clock.py",
-        "proxy/config.py",
-        "proxy/idle_limit.py",
-        "proxy/listening.py",
-        "proxy/local_errors.py",
-        "proxy/loop_watch.py",
-        "proxy/main.py",
-        "proxy/start_times.py",
         "faults/backend.py",
         "faults/cli.py",
         "faults/launch.py",
