--- a/orchidhatch/proxy/backend_connection.py
+++ b/orchidhatch/proxy/backend_connection.py
@@ -35,7 +35,7 @@
 INCOMPLETE_REPLY = object()
 
 
-class ConnectionState(Enum):
+class BackendConnectionState(Enum):
     """What a connection is doing; TRANSITIONS has the changes."""
 
     CONNECTING = "connecting"
@@ -50,11 +50,15 @@
 
 
 TRANSITIONS = {
-    ConnectionState.CONNECTING: {ConnectionState.IDLE, ConnectionState.CLOSED},
-    ConnectionState.IDLE: {ConnectionState.BUSY, ConnectionState.CLOSED},
-    ConnectionState.BUSY: {ConnectionState.STREAMING, ConnectionState.IDLE, ConnectionState.CLOSED},
-    ConnectionState.STREAMING: {ConnectionState.IDLE, ConnectionState.CLOSED},
-    ConnectionState.CLOSED: set[ConnectionState](),
+    BackendConnectionState.CONNECTING: {BackendConnectionState.IDLE, BackendConnectionState.CLOSED},
+    BackendConnectionState.IDLE: {BackendConnectionState.BUSY, BackendConnectionState.CLOSED},
+    BackendConnectionState.BUSY: {
+        BackendConnectionState.STREAMING,
+        BackendConnectionState.IDLE,
+        BackendConnectionState.CLOSED,
+    },
+    BackendConnectionState.STREAMING: {BackendConnectionState.IDLE, BackendConnectionState.CLOSED},
+    BackendConnectionState.CLOSED: set[BackendConnectionState](),
 }
 """From each state, the states that may follow; a closed connection stays closed."""
 
@@ -91,7 +95,7 @@
 
     def __init__(self, pool: ConnectionPool) -> None:
         self.pool = pool
-        self.state = ConnectionState.CONNECTING
+        self.state = BackendConnectionState.CONNECTING
         self.transport: asyncio.Transport | None = None
         self.failed_locally = False
         """Whether the last dial failed for a reason on this machine."""
@@ -111,9 +115,9 @@
 
     # --- state ---
 
-    def _enter(self, state: ConnectionState) -> None:
+    def _enter(self, state: BackendConnectionState) -> None:
         """Change the state; a closed connection stays closed. Raises ValueError for what is no transition."""
-        if self.state is ConnectionState.CLOSED:
+        if self.state is BackendConnectionState.CLOSED:
             return
         if state not in TRANSITIONS[self.state]:
             raise ValueError(f"connection state {self.state.value} cannot become {state.value}")
@@ -131,7 +135,7 @@
         # With no room for buffering, `pause_writing` reports that bytes are left, and `resume_writing` that
         # none are.
         transport.set_write_buffer_limits(0)
-        self._enter(ConnectionState.IDLE)
+        self._enter(BackendConnectionState.IDLE)
 
     def pause_writing(self) -> None:
         """Bytes of a command are left that the kernel has not taken."""
@@ -179,7 +183,7 @@
 
     def connection_lost(self, error: Exception | None) -> None:
         """End what was on the connection."""
-        self._enter(ConnectionState.CLOSED)
+        self._enter(BackendConnectionState.CLOSED)
         self.pool.discard(self)
         attempt = self.attempt
         self.attempt = None
@@ -193,7 +197,7 @@
     def send(self, attempt: Attempt) -> None:
         """Write the attempt's command; only `BackendPool.dispatch` calls this."""
         assert self.transport is not None
-        self._enter(ConnectionState.BUSY)
+        self._enter(BackendConnectionState.BUSY)
         self.attempt = attempt
         attempt.connection = self
         self.received_bytes = 0
@@ -220,7 +224,7 @@
         if self.take_piece is None:
             attempt.cancel()  # nobody waits for it any more
             return False
-        self._enter(ConnectionState.STREAMING)
+        self._enter(BackendConnectionState.STREAMING)
         self._pass_on(first_piece)
         return True
 
@@ -252,7 +256,7 @@
         if self.reader.has_data() or not attempt.was_written:
             self.abort()
         else:
-            self._enter(ConnectionState.IDLE)
+            self._enter(BackendConnectionState.IDLE)
             self.pool.connection_ready(self)
         attempt.finish(*read_reply(reply))
 
@@ -273,12 +277,12 @@
     def close(self) -> None:
         """Close a connection with nothing on it."""
         if self.transport:
-            self._enter(ConnectionState.CLOSED)
+            self._enter(BackendConnectionState.CLOSED)
             self.transport.close()
 
     def abort(self) -> None:
         """Close at once; `close` would first send what is still buffered, and so let the attempt run."""
         self.pool.discard(self)
         if self.transport:
-            self._enter(ConnectionState.CLOSED)
+            self._enter(BackendConnectionState.CLOSED)
             self.transport.abort()
--- a/tests/proxy/test_attempt_states.py
+++ b/tests/proxy/test_attempt_states.py
@@ -8,11 +8,11 @@
 from orchidhatch.proxy import attempt as attempt_states
 from orchidhatch.proxy import backend_connection as connection_states
 from orchidhatch.proxy.attempt import Attempt, AttemptState
-from orchidhatch.proxy.backend_connection import BackendConnection, ConnectionState
+from orchidhatch.proxy.backend_connection import BackendConnection, BackendConnectionState
 from tests.proxy.test_backend_pool import Sender, deaf
 
 ATTEMPT_PAIRS = list(itertools.product(AttemptState, AttemptState))
-CONNECTION_PAIRS = list(itertools.product(ConnectionState, ConnectionState))
+CONNECTION_PAIRS = list(itertools.product(BackendConnectionState, BackendConnectionState))
 
 
 def attempt_in(state: AttemptState) -> Attempt:
@@ -21,7 +21,7 @@
     return attempt
 
 
-def connection_in(state: ConnectionState, sender: Sender) -> BackendConnection:
+def connection_in(state: BackendConnectionState, sender: Sender) -> BackendConnection:
     connection = BackendConnection(sender.backends.pools["s"])
     connection.state = state
     return connection
@@ -41,15 +41,15 @@
 
 @pytest.mark.parametrize(("before", "after"), CONNECTION_PAIRS, ids=str)
 async def test_connection_changes_state_only_as_its_table_says(
-    before: ConnectionState, after: ConnectionState
+    before: BackendConnectionState, after: BackendConnectionState
 ) -> None:
     connection = connection_in(before, Sender(("127.0.0.1", 1)))
     if after in connection_states.TRANSITIONS[before]:
         connection._enter(after)
         assert connection.state is after
-    elif before is ConnectionState.CLOSED:
+    elif before is BackendConnectionState.CLOSED:
         connection._enter(after)
-        assert connection.state is ConnectionState.CLOSED
+        assert connection.state is BackendConnectionState.CLOSED
     else:
         with pytest.raises(ValueError, match="cannot become"):
             connection._enter(after)
@@ -64,7 +64,7 @@
             await sender.turn()
         connection = attempt.connection
         attempt.cancel()
-        assert attempt.state is AttemptState.ABANDONED and connection.state is ConnectionState.CLOSED
+        assert attempt.state is AttemptState.ABANDONED and connection.state is BackendConnectionState.CLOSED
         assert sender.ended.empty()
         assert await sender.result() is AttemptResult.CANCELLED
         assert attempt.state is AttemptState.ENDED and sender.backends.held == 0
@@ -75,10 +75,10 @@
         sender = Sender(address)
         attempt = sender.send()
         (connection,) = sender.backends.pools["s"].connections
-        assert connection.state is ConnectionState.CONNECTING
+        assert connection.state is BackendConnectionState.CONNECTING
         sender.backends.ban("s", True)
         assert attempt.state is AttemptState.ENDED
         assert await sender.result() is AttemptResult.LOCAL_FAILURE
         while sender.backends.held:
             await sender.turn()
-        assert connection.state is ConnectionState.CLOSED
+        assert connection.state is BackendConnectionState.CLOSED
