--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The pages name what is there: each module of the gateway on the architecture page, and no module that is gone."""
+"""The architecture page names each module of the gateway, and no module that is gone."""
 
 import re
 from pathlib import Path
