--- a/tests/gateway/test_membership.py
+++ b/tests/gateway/test_membership.py
@@ -59,6 +59,6 @@
     assert world.gateway.balancer.slow_start.is_warming_up(server)
 
 
-def test_ejection_of_a_server_that_was_never_listed_is_not_accepted() -> None:
+def test_ejection_of_an_unknown_server_is_not_accepted() -> None:
     world = World(fleet=servers(2))
     assert EjectionResult("nobody", True, False) in world.tell(SetEjection("nobody", True))
