--- a/tests/proxy/test_connection_state.py
+++ b/tests/proxy/test_connection_state.py
@@ -156,10 +156,12 @@
     ("owed", "is_reading"), [(MAX_PIPELINED_COMMANDS - 1, True), (MAX_PIPELINED_COMMANDS, False)]
 )
 async def test_reading_pauses_at_the_last_pipelined_command(owed: int, is_reading: bool) -> None:
-    async with front_door(Backend(lambda words: None)) as (gateway, address):
+    backend = Backend(lambda words: None)
+    async with front_door(backend) as (gateway, address):
         client = await Client.open(address)
         client.send(b"".join(query(f"a{number}") for number in range(owed)))
         await until(lambda: len(gateway.requests.open) == owed)
+        await backend.came.wait()
         (connection,) = gateway.clients.connections
         assert connection.is_reading is is_reading
 
