--- a/orchidhatch/proxy/backend_connection.py
+++ b/orchidhatch/proxy/backend_connection.py
@@ -14,8 +14,7 @@
 from orchidhatch.proxy.attempt import AbandonedAttempt, Attempt
 from orchidhatch.proxy.backend_replies import read_reply
 from orchidhatch.proxy.clock import now_us
-from orchidhatch.proxy.cpu_accounting import CostCategory as Place
-from orchidhatch.proxy.cpu_accounting import CpuAccounting as Account
+from orchidhatch.proxy.cpu_accounting import CostCategory, CpuAccounting
 from orchidhatch.proxy.idle_limit import IdleLimit
 from orchidhatch.proxy.resp import ProtocolError, ReplyReader
 
@@ -66,7 +65,7 @@
 class ConnectionOwner(Protocol):
     """What connections to all backends share."""
 
-    account: Account
+    account: CpuAccounting
     idle_limit: IdleLimit
     read_buffer: memoryview
     tally: Counter[str]
@@ -154,7 +153,7 @@
     def buffer_updated(self, size: int) -> None:
         """So many bytes were read into the buffer."""
         account = self.pool.owner.account
-        previous_category = account.enter(Place.BACKENDS)
+        previous_category = account.enter(CostCategory.BACKENDS)
         try:
             self.data_received(bytes(self.pool.owner.read_buffer[:size]))
         finally:
--- a/orchidhatch/proxy/backend_pool.py
+++ b/orchidhatch/proxy/backend_pool.py
@@ -12,11 +12,11 @@
 from orchidhatch.proxy.backend_connection import BackendConnection
 from orchidhatch.proxy.clock import now_us
 from orchidhatch.proxy.config import Address
-from orchidhatch.proxy.cpu_accounting import CpuAccounting as Account
+from orchidhatch.proxy.cpu_accounting import CpuAccounting
 from orchidhatch.proxy.guards import Guard, Refusal
 from orchidhatch.proxy.idle_limit import IdleLimit
 from orchidhatch.proxy.local_errors import retry_local
-from orchidhatch.proxy.wait_queues import WaitHistogram as Waits
+from orchidhatch.proxy.wait_queues import WaitHistogram
 
 log = logging.getLogger(__name__)
 
@@ -27,11 +27,11 @@
 class PoolOwner(Protocol):
     """What the pools of all backends share."""
 
-    account: Account
+    account: CpuAccounting
     guard: Guard
     idle_limit: IdleLimit
     tally: Counter[str]
-    connect_waits: Waits
+    connect_waits: WaitHistogram
     connect_timeout_s: float
     read_buffer: memoryview
     sends: int
--- a/orchidhatch/proxy/backends.py
+++ b/orchidhatch/proxy/backends.py
@@ -13,13 +13,12 @@
 from orchidhatch.proxy.backend_pool import BackendPool
 from orchidhatch.proxy.clock import now_us
 from orchidhatch.proxy.config import Address
-from orchidhatch.proxy.cpu_accounting import CostCategory as Place
-from orchidhatch.proxy.cpu_accounting import CpuAccounting as Account
+from orchidhatch.proxy.cpu_accounting import CostCategory, CpuAccounting
 from orchidhatch.proxy.guards import Guard
 from orchidhatch.proxy.idle_limit import HALVING_INTERVAL_S, IdleLimit
 from orchidhatch.proxy.local_errors import error_name
 from orchidhatch.proxy.loop_watch import LoopWatch
-from orchidhatch.proxy.wait_queues import WaitHistogram as Waits
+from orchidhatch.proxy.wait_queues import WaitHistogram
 
 log = logging.getLogger(__name__)
 
@@ -42,11 +41,11 @@
         idle_us: int,
         connect_timeout_us: int,
         most: int,
-        account: Account | None = None,
+        account: CpuAccounting | None = None,
         guard: Guard | None = None,
         loop_watch: LoopWatch | None = None,
     ) -> None:
-        self.account = account or Account()
+        self.account = account or CpuAccounting()
         self.guard = guard or Guard()
         self.loop_watch = loop_watch or LoopWatch()
         self.idle_limit = IdleLimit(round(idle_us * IDLE_TIME_SHARE))
@@ -69,8 +68,8 @@
         self.tasks: set[asyncio.Task[None]] = set()
         self.read_buffer = memoryview(bytearray(READ_BUFFER_BYTES))
         self.sweep_is_scheduled = False
-        self.connect_waits = Waits()
-        self.answer_waits = Waits()
+        self.connect_waits = WaitHistogram()
+        self.answer_waits = WaitHistogram()
         self.tally: Counter[str] = Counter()
         """How connections fared, since the last log line."""
         # Counted since the start: dials that failed on this machine, by error; those of them for lack of
@@ -232,11 +231,11 @@
             return
         self.sweep_is_scheduled = True
         delay_s = min(MAX_SWEEP_INTERVAL_S, self.idle_limit.stated_us / 4e6)
-        asyncio.get_running_loop().call_later(delay_s, self.account.run, Place.BACKENDS, self.sweep)
+        asyncio.get_running_loop().call_later(delay_s, self.account.run, CostCategory.BACKENDS, self.sweep)
 
     # --- tasks, and the end ---
 
-    def spawn(self, job: Coroutine[None, None, None], category: Place = Place.BACKENDS) -> None:
+    def spawn(self, job: Coroutine[None, None, None], category: CostCategory = CostCategory.BACKENDS) -> None:
         """Run a task until it ends or everything does; its CPU time counts for `category`."""
         task = asyncio.get_running_loop().create_task(self.account.steps(category, job))
         self.tasks.add(task)  # the loop itself holds tasks only weakly
--- a/orchidhatch/proxy/endpoint_watch.py
+++ b/orchidhatch/proxy/endpoint_watch.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from orchidhatch.proxy.config import Address
-from orchidhatch.proxy.cpu_accounting import CpuAccounting as Account
+from orchidhatch.proxy.cpu_accounting import CpuAccounting
 from orchidhatch.proxy.endpoint_list_reader import EndpointListReader, EndpointUpdate
 from orchidhatch.proxy.local_errors import is_local
 from orchidhatch.proxy.watch_backoff import (
@@ -43,14 +43,14 @@
         on_update: Callable[[EndpointUpdate], None],
         seed: int = 0,
         gateway_count: int = 1,
-        account: Account | None = None,
+        account: CpuAccounting | None = None,
         is_agent: bool = True,
     ) -> None:
         self.address = address
         self.reader = reader
         self.version = version
         self.on_update = on_update
-        self.account = account or Account()
+        self.account = account or CpuAccounting()
         self.is_agent = is_agent
         """Whether discovery is an agent on this machine, which pushes lists."""
         self.backoff = WatchBackoff(seed, gateway_count, is_agent)
--- a/orchidhatch/proxy/management.py
+++ b/orchidhatch/proxy/management.py
@@ -14,11 +14,9 @@
 
 import h11
 
-from orchidhatch.proxy.cpu_accounting import CostCategory as Place
-from orchidhatch.proxy.cpu_accounting import CpuAccounting as Account
+from orchidhatch.proxy.cpu_accounting import CostCategory, CpuAccounting
 from orchidhatch.proxy.listening import closed_on_error, stream_socket
-from orchidhatch.proxy.wait_queues import QueueStatus as Line
-from orchidhatch.proxy.wait_queues import WaitHistogram as Waits
+from orchidhatch.proxy.wait_queues import QueueStatus, WaitHistogram
 
 log = logging.getLogger(__name__)
 
@@ -98,7 +96,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Read what has come, unless the call has been answered."""
-        previous_category = self.management.account.enter(Place.MANAGEMENT)
+        previous_category = self.management.account.enter(CostCategory.MANAGEMENT)
         try:
             if not self.has_ended():
                 self._read(data)
@@ -180,12 +178,12 @@
 class Management:
     """Listens for calls; the connections are bounded, and the oldest makes room for a new one."""
 
-    def __init__(self, calls: Calls, account: Account | None = None) -> None:
+    def __init__(self, calls: Calls, account: CpuAccounting | None = None) -> None:
         self.calls = calls
-        self.account = account or Account()
+        self.account = account or CpuAccounting()
         self.connections: dict[CallConnection, None] = {}
         self.server: asyncio.Server | None = None
-        self.waits = Waits()
+        self.waits = WaitHistogram()
         self.evicted = 0
         """Connections that were closed for new ones, since the start."""
 
@@ -202,10 +200,10 @@
             self.evicted += 1
             next(iter(self.connections)).transport.abort()
 
-    def line(self) -> Line:
+    def line(self) -> QueueStatus:
         """The connections as a wait queue, for the metrics page."""
         oldest_s = min((one.opened_s for one in self.connections), default=time.monotonic())
-        return Line(
+        return QueueStatus(
             "management",
             MAX_CONNECTIONS,
             len(self.connections),
--- a/orchidhatch/proxy/peers.py
+++ b/orchidhatch/proxy/peers.py
@@ -7,9 +7,8 @@
 from orchidhatch.gateway.events import PeerMessage
 from orchidhatch.gateway.gossip_codec import mark_of, pack_message, unpack_message
 from orchidhatch.proxy.config import Address
-from orchidhatch.proxy.cpu_accounting import CostCategory as Place
-from orchidhatch.proxy.cpu_accounting import CpuAccounting as Account
-from orchidhatch.proxy.wait_queues import WaitHistogram as Waits
+from orchidhatch.proxy.cpu_accounting import CostCategory, CpuAccounting
+from orchidhatch.proxy.wait_queues import WaitHistogram
 
 MAX_UNSENT_BYTES = 16 * 1024
 """Bytes that wait for the socket; past that datagrams are dropped, as they may be on the way."""
@@ -23,18 +22,18 @@
         addresses: tuple[Address, ...],
         gateway_index: int,
         on_message: Callable[[PeerMessage], None],
-        account: Account | None = None,
+        account: CpuAccounting | None = None,
     ) -> None:
         self.addresses = addresses
         self.gateway_index = gateway_index
         self.on_message = on_message
-        self.account = account or Account()
+        self.account = account or CpuAccounting()
         self.policy_mark = 0
         """Of the policy that the messages from here go by."""
         self.senders = {address: index for index, address in enumerate(addresses) if index != gateway_index}
         self.transport: asyncio.DatagramTransport | None = None
         self.is_writable = True
-        self.waits = Waits()
+        self.waits = WaitHistogram()
         # Datagrams since the start: not sent, unreadable, and from addresses of no peer.
         self.dropped = 0
         self.malformed = 0
@@ -47,7 +46,7 @@
 
     def datagram_received(self, data: bytes, address: Address) -> None:
         """Read a datagram."""
-        previous_category = self.account.enter(Place.PEERS)
+        previous_category = self.account.enter(CostCategory.PEERS)
         try:
             self._read(data, self.senders.get(address))
         finally:
--- a/orchidhatch/proxy/watch_connection.py
+++ b/orchidhatch/proxy/watch_connection.py
@@ -11,8 +11,7 @@
 import h11
 
 from orchidhatch.proxy import socket_inspection
-from orchidhatch.proxy.cpu_accounting import CostCategory as Place
-from orchidhatch.proxy.cpu_accounting import CpuAccounting as Account
+from orchidhatch.proxy.cpu_accounting import CostCategory, CpuAccounting
 from orchidhatch.proxy.json_lines import MAX_VALUE_BYTES, JsonLineReader
 
 log = logging.getLogger(__name__)
@@ -61,7 +60,7 @@
         host: str,
         on_value: Callable[[Any], None],
         on_accepted: Callable[["WatchConnection"], None],
-        account: Account,
+        account: CpuAccounting,
         on_heartbeat: Callable[[], None] = lambda: None,
     ) -> None:
         self.target = target
@@ -97,7 +96,7 @@
     def data_received(self, data: bytes) -> None:
         """Read what has come; a malformed event ends the watch."""
         self.last_received_s = time.monotonic()
-        previous_category = self.account.enter(Place.DISCOVERY)
+        previous_category = self.account.enter(CostCategory.DISCOVERY)
         try:
             self.http.receive_data(data)
             while (event := self.http.next_event()) not in (h11.NEED_DATA, h11.PAUSED):
--- a/tests/proxy/test_management.py
+++ b/tests/proxy/test_management.py
@@ -6,7 +6,7 @@
 import pytest
 
 from orchidhatch.proxy import management
-from orchidhatch.proxy.metrics import RequestMetrics as Figures
+from orchidhatch.proxy.metrics import RequestMetrics
 from orchidhatch.proxy.server import GatewayServer
 from tests.sockets import HOST, SETTINGS, Backend, Client, front_door, query, resp, value
 
@@ -94,7 +94,7 @@
 
 
 def test_label_is_escaped_and_zeros_show() -> None:
-    assert 'proxy_errored_total{group="a\\"\\\\\\n"} 0\n' in Figures(['a"\\\n']).text()
+    assert 'proxy_errored_total{group="a\\"\\\\\\n"} 0\n' in RequestMetrics(['a"\\\n']).text()
 
 
 async def test_counters_count_since_the_start() -> None:
