--- a/tests/control/registry/test_store.py
+++ b/tests/control/registry/test_store.py
@@ -290,6 +290,19 @@
         found.close()
 
 
+def test_flipped_bit_in_the_schema_is_found(path: Path) -> None:
+    """The case that the test of random bits rarely draws: the text of a table's definition is no UTF-8."""
+    store, _ = written(path)
+    store.db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
+    store.close()
+    main = bytearray(path.read_bytes())
+    definition = b"CREATE TABLE book (kind TEXT NOT "
+    main[main.index(definition) + len(definition)] ^= 0x80
+    path.write_bytes(main)
+    with pytest.raises(StoreError):
+        Store(path)
+
+
 def test_changed_value_is_rejected_in_one_line(path: Path) -> None:
     store, _ = written(path)
     store.close()
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -32,3 +32,8 @@
     path.write_text(text)
     with pytest.raises(ValueError, match=r"list|form"):
         read_known_failures(path)
+
+
+@pytest.mark.parametrize(("seen", "always"), [("a late answer", True), ("sometimes a late answer", False)])
+def test_intermittent_failure_may_pass(seen: str, always: bool) -> None:
+    assert KnownFailure("tests/a.py::test_a", "pytest tests/a.py", seen, "40").always_fails() is always
