--- a/orchidhatch/proxy/request_exchange.py
+++ b/orchidhatch/proxy/request_exchange.py
@@ -19,15 +19,15 @@
     """
 
     __slots__ = (
-        "attempts",
+        "arrived_us",
+        "attempt_count",
         "buffer",
         "buffer_size",
-        "came_us",
         "command",
         "end_us",
+        "in_flight",
         "last_result",
         "may_have_run_us",
-        "out",
         "plan",
         "policy",
         "reply",
@@ -41,16 +41,16 @@
         self.end_us = end_us
         self.plan = plan
         self.policy = policy
-        self.came_us = end_us - command.request.time_left_us
-        self.attempts = 0
+        self.arrived_us = end_us - command.request.time_left_us
+        self.attempt_count = 0
         self.may_have_run_us = 0
         self.buffer: bytearray | None = None
         self.buffer_size = 0
         self.last_result: AttemptResult | None = None
-        self.out: dict[int, Attempt] = {}
+        self.in_flight: dict[int, Attempt] = {}
         self.timer: asyncio.TimerHandle | None = None
         self.stream: Attempt | None = None
 
-    def has_another_out(self, attempt: Attempt) -> bool:
+    def has_another_in_flight(self, attempt: Attempt) -> bool:
         """Whether an attempt beside this one may still reach its backend or be answered."""
-        return any(other is not attempt and not other.has_ended for other in self.out.values())
+        return any(other is not attempt and not other.has_ended for other in self.in_flight.values())
--- a/orchidhatch/proxy/request_lifecycle.py
+++ b/orchidhatch/proxy/request_lifecycle.py
@@ -157,23 +157,23 @@
     def send(self, action: SendAttempt) -> None:
         """Start an attempt, or report it as never sent if the request has ended or has had all of its."""
         exchange = self.open.get(action.id)
-        if exchange is None or exchange.attempts >= self.active.settings.max_attempts:
+        if exchange is None or exchange.attempt_count >= self.active.settings.max_attempts:
             self._report_unsent(action, exchange)
             return
-        number = exchange.attempts
-        exchange.attempts += 1
+        number = exchange.attempt_count
+        exchange.attempt_count += 1
         try:
             self._begin_attempt(action, exchange, number)
         except Exception:
-            exchange.out.pop(number, None)  # the core counts it as out until its end is reported
+            exchange.in_flight.pop(number, None)  # the core counts it as out until its end is reported
             self.post(AttemptEnded(action.id, False, number, action.server, AttemptResult.NOT_SENT, 0))
             raise
 
     def _report_unsent(self, action: SendAttempt, exchange: RequestExchange | None) -> None:
         known = exchange or self.ended.get(action.id)
-        number = known.attempts if known else 0
+        number = known.attempt_count if known else 0
         if known:
-            known.attempts += 1
+            known.attempt_count += 1
         self.post(AttemptEnded(action.id, exchange is None, number, action.server, AttemptResult.NOT_SENT, 0))
 
     def _begin_attempt(self, action: SendAttempt, exchange: RequestExchange, number: int) -> None:
@@ -182,7 +182,7 @@
         timeout_us = min(left_us, action.timeout_us) if action.timeout_us > 0 else left_us
         self.sent[action.server] += 1
         if not number:
-            self.queue_waits.note(now_us() - exchange.came_us)
+            self.queue_waits.note(now_us() - exchange.arrived_us)
             request = exchange.command.request
             self.spent[request.customer, exchange.plan, request.set_size] += request.units
         if exchange.last_result:
@@ -199,7 +199,7 @@
         if exchange.buffer_size:
             self._free_buffer(exchange)
         attempt.deadline_us = now + timeout_us
-        exchange.out[number] = attempt
+        exchange.in_flight[number] = attempt
         self.backends.send(attempt, timeout_us, action.start_within_us)
 
     def may_send(self, attempt: Attempt) -> bool:
@@ -221,9 +221,9 @@
 
     def _refusal(self, attempt: Attempt, exchange: RequestExchange | None) -> Refusal | None:
         """The invariant that the attempt would break, if any."""
-        if exchange is None or exchange.out.get(attempt.number) is not attempt:
+        if exchange is None or exchange.in_flight.get(attempt.number) is not attempt:
             return Refusal.REQUEST_ENDED
-        if exchange.has_another_out(attempt):
+        if exchange.has_another_in_flight(attempt):
             return Refusal.OVERLAPPING_ATTEMPT
         if attempt.number >= self.active.settings.max_attempts:
             return Refusal.TOO_MANY_ATTEMPTS
@@ -254,10 +254,10 @@
         is_over = name not in self.open
         exchange = self.ended.get(name) if is_over else self.open[name]
         if exchange:
-            exchange.out.pop(attempt.number, None)
+            exchange.in_flight.pop(attempt.number, None)
             if result not in NOT_RUN_RESULTS and not exchange.may_have_run_us:
                 exchange.may_have_run_us = attempt.sent_us
-            if is_over and not exchange.out:
+            if is_over and not exchange.in_flight:
                 del self.ended[name]
             exchange.last_result = result
         self.tally[result.value] += 1
@@ -268,7 +268,7 @@
     def cancel(self, action: CancelAttempt) -> None:
         """Cancel an attempt that is out."""
         exchange = self.open.get(action.id) or self.ended.get(action.id)
-        attempt = exchange.out.get(action.attempt) if exchange else None
+        attempt = exchange.in_flight.get(action.attempt) if exchange else None
         if attempt:
             attempt.cancel()
 
@@ -369,7 +369,7 @@
                 request.id,
                 outcome,
                 exchange.policy,
-                exchange.came_us,
+                exchange.arrived_us,
             )
 
     def settle(self, request_id: str) -> RequestExchange | None:
@@ -380,12 +380,12 @@
         self.open_command_bytes -= exchange.command.request.size_bytes
         if exchange.buffer_size:
             self._free_buffer(exchange)
-        if not exchange.attempts:
-            self.queue_waits.note(now_us() - exchange.came_us)
+        if not exchange.attempt_count:
+            self.queue_waits.note(now_us() - exchange.arrived_us)
         if exchange.timer:
             exchange.timer.cancel()
-        if exchange.out:
+        if exchange.in_flight:
             self.ended[request_id] = exchange
-        for attempt in [attempt for attempt in exchange.out.values() if not attempt.was_written]:
+        for attempt in [attempt for attempt in exchange.in_flight.values() if not attempt.was_written]:
             attempt.withdraw()  # nothing is begun for a client that has left or has its answer
         return exchange
--- a/tests/proxy/test_attempt_endings.py
+++ b/tests/proxy/test_attempt_endings.py
@@ -61,7 +61,7 @@
             await asyncio.sleep(0)
         first = next(backend for backend in both if backend.commands)
         other = next(backend for backend in both if backend is not first)
-        attempt, closed = gateway.requests.open["a1"].out[0], []
+        attempt, closed = gateway.requests.open["a1"].in_flight[0], []
         send = BackendConnection.send
 
         def sent(connection: BackendConnection, following: Attempt) -> None:
--- a/tests/proxy/test_guards.py
+++ b/tests/proxy/test_guards.py
@@ -222,12 +222,12 @@
     async with held_request(query("a1")) as (gateway, exchange, _):
         deadline_us, exchange.end_us = exchange.end_us, 1
         attempt = Attempt("a1", 0, "s0", lambda _: b"", lambda *_: None, may_send=gateway.requests.may_send)
-        exchange.out[0] = attempt
+        exchange.in_flight[0] = attempt
         assert not gateway.requests.may_send(attempt)
-        exchange.end_us, exchange.out = deadline_us, {9: attempt}
+        exchange.end_us, exchange.in_flight = deadline_us, {9: attempt}
         attempt.number = 9
         assert not gateway.requests.may_send(attempt)
-        exchange.out = {}
+        exchange.in_flight = {}
         assert not gateway.requests.may_send(attempt)
         assert gateway.guard.refusals == {
             Refusal.PAST_DEADLINE: 1,
--- a/tests/proxy/test_server.py
+++ b/tests/proxy/test_server.py
@@ -87,7 +87,7 @@
             await asyncio.sleep(0)
         # Its timer ends it at the latest, should the core not do so before.
         exchange = gateway.requests.open["a1"]
-        assert exchange.timer.when() < exchange.came_us / 1e6 + 0.3
+        assert exchange.timer.when() < exchange.arrived_us / 1e6 + 0.3
         assert await client.answer() == "-ERR failed"
         await backend.left.wait()  # the attempt was given up by closing its connection
         assert await client.ask(resp("PING")) == b"PONG"  # nothing else came in between
