--- a/tests/baseline/test_client_sessions.py
+++ b/tests/baseline/test_client_sessions.py
@@ -91,10 +91,10 @@
 ]
 
 
-def answer_of(words: list[bytes]) -> bytes | None:
+def answer_of(arguments: list[bytes]) -> bytes | None:
     """A backend's answer to the request, by the letters of its id."""
-    kind = words[2].rstrip(b"0123456789")
-    return BACKEND_ANSWERS.get(kind, value(b"value of " + words[2]))
+    kind = arguments[2].rstrip(b"0123456789")
+    return BACKEND_ANSWERS.get(kind, value(b"value of " + arguments[2]))
 
 
 async def read_to(client: Client, end: bytes | None = None) -> bytes:
@@ -206,10 +206,10 @@
     answers = [late, await read_to(clients[0])]
     clients[1].send(query("h1")[20:] + query("h3"))
     clients[2].send(query("h4"))
-    for words, writer in zip(backend.commands, backend.writers, strict=True):
-        if words[2] in (b"silent1", b"part1"):
+    for arguments, writer in zip(backend.commands, backend.writers, strict=True):
+        if arguments[2] in (b"silent1", b"part1"):
             rest = LONG[1000:] + b"\r\n$-1\r\n$-1\r\n"
-            writer.write(value(b"late") if words[2] == b"silent1" else rest)
+            writer.write(value(b"late") if arguments[2] == b"silent1" else rest)
     answers += [await read_to(client) for client in clients[1:]]
     await draining
     return b"|".join(answers)
@@ -219,7 +219,8 @@
 SESSIONS: dict[str, Session] = {
     **{name: lambda _, at, __, pieces=pieces: play(at, pieces) for name, pieces in PLAIN.items()},
     **{
-        f"wrong {n}": lambda _, at, __, words=words: play(at, [resp(*words)]) for n, words in enumerate(WRONG)
+        f"wrong {n}": lambda _, at, __, arguments=arguments: play(at, [resp(*arguments)])
+        for n, arguments in enumerate(WRONG)
     },
     **{f"malformed {n}": lambda _, at, __, data=data: play(at, [data]) for n, data in enumerate(MALFORMED)},
     **{
@@ -245,7 +246,9 @@
             got = await SESSIONS[name](gateway, address, backend)
     if name in UNORDERED_AT_BACKEND:
         return [shortened(got)]
-    commands = {b" ".join(re.sub(rb"\bd=\d+", b"d=", word) for word in words) for words in backend.commands}
+    commands = {
+        b" ".join(re.sub(rb"\bd=\d+", b"d=", word) for word in arguments) for arguments in backend.commands
+    }
     return [shortened(got), *sorted(map(shortened, commands))]
 
 
--- a/tests/proxy/gateway_scripts.py
+++ b/tests/proxy/gateway_scripts.py
@@ -36,9 +36,9 @@
     """Have it come in right behind the next request, before the decision core handles that."""
     take = gateway.clients.take
 
-    def taken(words: list[bytes], reply: Reply) -> None:
+    def taken(arguments: list[bytes], reply: Reply) -> None:
         gateway.clients.take = take
-        take(words, reply)
+        take(arguments, reply)
         what()
 
     gateway.clients.take = taken
--- a/tests/proxy/test_attempt_endings.py
+++ b/tests/proxy/test_attempt_endings.py
@@ -55,7 +55,7 @@
         client = await Client.open(address)
         await warm_up(gateway, client, *both)
         for backend in both:
-            backend.answer = lambda words: None
+            backend.answer = lambda arguments: None
         client.send(query("a1"))
         while not any(backend.commands for backend in both):
             await asyncio.sleep(0)
@@ -71,7 +71,7 @@
         monkeypatch.setattr(BackendConnection, "send", sent)
         gateway.dispatcher.post(ClientGone("somebody else"))
         attempt.time_out()
-        other.answer = lambda words: value(b"at last")
+        other.answer = lambda arguments: value(b"at last")
         assert await client.answer() == b"at last"
         assert closed == [True]
 
@@ -86,7 +86,7 @@
         client = await Client.open(address)
         assert await client.ask(query("a1")) == b"ok"
         (resting,) = gateway.backends.pools["s0"].idle_connections
-        backend.answer = lambda words: None
+        backend.answer = lambda arguments: None
 
         def spoil() -> None:
             backend.writers[0].write(value(b"another's"))
@@ -131,7 +131,7 @@
 
     async def job() -> None:
         nonlocal late_us
-        both = [Backend(lambda words: b"-ERR failed\r\n"), Backend(lambda words: b"-ERR failed\r\n")]
+        both = [Backend(lambda arguments: b"-ERR failed\r\n"), Backend(lambda arguments: b"-ERR failed\r\n")]
         classes = (SETTINGS.classes[0], replace(SETTINGS.classes[1], dedup_window_us=S), SETTINGS.classes[2])
         async with front_door(*both, settings=replace(SETTINGS, classes=classes)) as (gateway, address):
             client, up, connect = await Client.open(address), asyncio.Event(), BackendPool.connect
@@ -206,7 +206,7 @@
 async def test_queued_request_outlives_a_change_of_plans() -> None:
     """Its plan's number is another's, or nobody's, by then."""
 
-    backend = Backend(lambda words: None)
+    backend = Backend(lambda arguments: None)
     plans = (Plan(rate=1000.0, burst=1000.0), Plan(rate=1000.0, burst=1000.0, max_in_flight=1))
     settings = replace(SETTINGS, plans=plans, gateway_count=1)
     async with front_door(backend, settings=settings, plan_numbers={"team": 0, "crew": 1}) as (
@@ -228,10 +228,10 @@
                 policy=Policy(1, "0" * 16, 5.0),
             )
         )
-        backend.answer = lambda words: value(b"second")
+        backend.answer = lambda arguments: value(b"second")
         backend.writers[0].write(value(b"first"))
         assert await client.answer() == b"first" and await other.answer() == b"second"
-        assert [words[3].split(b",")[1] for words in backend.commands] == [b"t=crew"] * 2
+        assert [arguments[3].split(b",")[1] for arguments in backend.commands] == [b"t=crew"] * 2
         assert not gateway.core.requests and gateway.core.overload.in_flight == 0
 
 
--- a/tests/proxy/test_backend_pool.py
+++ b/tests/proxy/test_backend_pool.py
@@ -66,7 +66,7 @@
 
 
 async def test_connection_is_reused_for_one_command_at_a_time(rest: Callable[[], None]) -> None:
-    backend = Backend(lambda words: None)
+    backend = Backend(lambda arguments: None)
     sender = Sender(await backend.start())
     sender.send()
     sender.send()
@@ -77,7 +77,7 @@
     for writer in backend.writers:
         writer.write(value(b"x"))
     assert [await sender.result(), await sender.result()] == [AttemptResult.OK] * 2
-    backend.answer = lambda words: value(b"y")
+    backend.answer = lambda arguments: value(b"y")
     for _ in range(5):
         rest()
         sender.send()
@@ -92,14 +92,14 @@
 
 
 async def test_abandoned_attempt_closes_its_connection() -> None:
-    backend = Backend(lambda words: None)
+    backend = Backend(lambda arguments: None)
     sender = Sender(await backend.start())
     attempt = sender.send()
     await backend.came.wait()
     attempt.cancel()
     assert await sender.result() is AttemptResult.CANCELLED
     await backend.left.wait()  # an answer that is still due must not meet the next command
-    backend.answer = lambda words: value(b"fresh")
+    backend.answer = lambda arguments: value(b"fresh")
     sender.send()
     assert (await sender.ended.get())[1] == b"fresh"
     assert sender.ended.empty()
@@ -107,7 +107,7 @@
 
 
 async def test_reset_after_last_byte_may_have_run() -> None:
-    sender = Sender(await Backend(lambda words: b"").start())
+    sender = Sender(await Backend(lambda arguments: b"").start())
     sender.send()
     assert await sender.result() is AttemptResult.RESET
 
@@ -176,7 +176,7 @@
     """A machine that vanished resets them when it is back: an unsafe request would be lost on one."""
 
     for broken in (None, b""):
-        backend = Backend(lambda words: None)
+        backend = Backend(lambda arguments: None)
         sender = Sender(await backend.start())
         sender.send()
         sender.send()
@@ -187,14 +187,14 @@
             writer.write(value(b"x"))
         assert [await sender.result(), await sender.result()] == [AttemptResult.OK] * 2
         assert len(sender.backends.pools["s"].idle_connections) == 2
-        backend.answer = lambda words, broken=broken: broken
+        backend.answer = lambda arguments, broken=broken: broken
         sender.send(timeout_us=100_000)
         assert await sender.result() in (AttemptResult.TIMEOUT, AttemptResult.RESET)
         assert sender.backends.pools["s"].idle_connections == []
 
 
 async def test_connections_are_bounded_over_all_backends() -> None:
-    backend = Backend(lambda words: None)
+    backend = Backend(lambda arguments: None)
     sender = Sender(await backend.start(), most=2)
     first = sender.send()
     sender.send()
@@ -209,13 +209,13 @@
 
 async def test_bound_holds_while_only_connection_is_reused(rest: Callable[[], None]) -> None:
     """It was idle at another backend, and is no more."""
-    backend = Backend(lambda words: value(b"x"))
+    backend = Backend(lambda arguments: value(b"x"))
     sender = Sender(await backend.start(), most=1)
     sender.backends.update({"t": EndpointState.UP}, {"t": backend.address}, whole=False)
     sender.send()
     assert await sender.result() is AttemptResult.OK
     rest()
-    backend.answer = lambda words: None
+    backend.answer = lambda arguments: None
     sender.send()  # on the connection that was idle
     other = Attempt("b", 0, "t", lambda _: b"", lambda _, *how: sender.ended.put_nowait(how))
     sender.backends.send(other, 5 * S)
@@ -224,7 +224,7 @@
 
 
 async def test_gone_backend_keeps_attempts_but_no_idle_connections() -> None:
-    backend = Backend(lambda words: None)
+    backend = Backend(lambda arguments: None)
     sender = Sender(await backend.start())
     sender.send()
     await backend.came.wait()
@@ -249,7 +249,7 @@
     """Arrays made as long as they claim are traversed and freed on the gateway's CPU time."""
 
     for claim in (b"*100000000\r\n", b"*3\r\n*100000000\r\n", b"*3\r\n$5000000\r\n"):
-        sender = Sender(await Backend(lambda words, claim=claim: claim).start())
+        sender = Sender(await Backend(lambda arguments, claim=claim: claim).start())
         sender.send(timeout_us=20 * S)
         assert await asyncio.wait_for(sender.result(), 10) is AttemptResult.RESET
         assert sender.backends.held == 0
--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -25,14 +25,14 @@
 
 
 async def test_answers_keep_the_order_of_commands() -> None:
-    backend = Backend(lambda words: None if words[2] == b"a1" else value(words[2]))
+    backend = Backend(lambda arguments: None if arguments[2] == b"a1" else value(arguments[2]))
     async with front_door(backend) as (_, address):
         client = await Client.open(address)
         client.send(query("a1") + resp("PING") + query("a2") + resp("WHAT"))
         while len(backend.commands) < 2:
             backend.came.clear()
             await backend.came.wait()
-        slow = next(n for n, words in enumerate(backend.commands) if words[2] == b"a1")
+        slow = next(n for n, arguments in enumerate(backend.commands) if arguments[2] == b"a1")
         backend.writers[slow].write(value(b"a1"))
         answers = [await client.answer() for _ in range(4)]
         assert answers == [b"a1", b"PONG", b"a2", "-ERR unknown command"]
@@ -40,13 +40,13 @@
 
 def test_internal_fault_answers_what_is_owed(caplog: pytest.LogCaptureFixture) -> None:
     async def job() -> None:
-        backend = Backend(lambda words: None)
+        backend = Backend(lambda arguments: None)
         async with front_door(backend) as (gateway, address):
             client = await Client.open(address)
             client.send(query("a1"))
             await backend.came.wait()
 
-            def broken(words: list[bytes], reply: object) -> None:
+            def broken(arguments: list[bytes], reply: object) -> None:
                 raise RuntimeError("a fault of ours")
 
             gateway.clients.take = broken
@@ -61,13 +61,13 @@
 
 
 async def test_reading_pauses_at_the_pipelining_limit() -> None:
-    backend = Backend(lambda words: None)
+    backend = Backend(lambda arguments: None)
     async with front_door(backend) as (gateway, address):
         client = await Client.open(address)
         client.send(b"".join(query(f"a{n}") for n in range(3 * MAX_PIPELINED_COMMANDS)))
         await until(lambda: queue_status(gateway, "unread").depth)
         assert queue_status(gateway, "held").depth + len(backend.commands) <= 3 * MAX_PIPELINED_COMMANDS
-        backend.answer = lambda words: value(b"ok")
+        backend.answer = lambda arguments: value(b"ok")
         for _ in range(len(backend.commands)):
             backend.writers.pop().write(value(b"ok"))
         while waits_count(queue_status(gateway, "unread").waits) == 0:
@@ -81,7 +81,7 @@
 async def test_client_that_leaves_is_noticed_while_reading_pauses() -> None:
     """Its end lies behind what it had pipelined, or its answers could not leave."""
 
-    backend = Backend(lambda words: None)
+    backend = Backend(lambda arguments: None)
     async with front_door(backend) as (gateway, address):
         client = await Client.open(address)
         client.send(b"".join(query(f"a{n}") for n in range(40)))
@@ -95,7 +95,7 @@
 async def test_half_close_behind_unsent_answers_ends_requests() -> None:
     """The loop tells of a connection's loss only when all is written."""
 
-    backend = Backend(lambda words: None if words[2] == b"a2" else value(b"x" * 60_000))
+    backend = Backend(lambda arguments: None if arguments[2] == b"a2" else value(b"x" * 60_000))
     async with front_door(backend) as (gateway, address):
         client = await Client.open(address)
         client.send(query("a1") + query("a2"))
@@ -118,7 +118,7 @@
 async def test_last_answer_is_complete_despite_unread_bytes() -> None:
     """Unread bytes at the close would have the system reset the connection, and drop what it still holds."""
 
-    backend = Backend(lambda words: None)
+    backend = Backend(lambda arguments: None)
     async with front_door(backend) as (gateway, address):
         client = await Client.open(address)
         client.send(query("a1"))
@@ -138,7 +138,7 @@
         client.writer.transport.resume_reading()
         assert await client.answer() == LONG_VALUE
         assert await client.ended()
-        assert [words[2] for words in backend.commands] == [b"a1"]
+        assert [arguments[2] for arguments in backend.commands] == [b"a1"]
 
 
 async def test_error_line_is_delivered_despite_a_flood() -> None:
--- a/tests/proxy/test_client_sweeper.py
+++ b/tests/proxy/test_client_sweeper.py
@@ -100,7 +100,7 @@
 
 
 async def test_client_that_never_reads_is_closed() -> None:
-    async with front_door(Backend(lambda words: value(b"v" * 60_000))) as (gateway, address):
+    async with front_door(Backend(lambda arguments: value(b"v" * 60_000))) as (gateway, address):
         now = [100.0]
         gateway.clients.clock = lambda: now[0]
         client = await clogged(gateway, address)
@@ -118,7 +118,7 @@
 
 async def test_slowest_reader_is_closed_over_the_backlog_limit() -> None:
     """The client that took nothing longest goes first when too much waits for all."""
-    async with front_door(Backend(lambda words: value(b"v" * 60_000))) as (gateway, address):
+    async with front_door(Backend(lambda arguments: value(b"v" * 60_000))) as (gateway, address):
         client = await clogged(gateway, address)
         gateway.clients.backlog.limit_bytes = (
             gateway.clients.backlog.unsent_bytes
--- a/tests/proxy/test_clients.py
+++ b/tests/proxy/test_clients.py
@@ -15,7 +15,7 @@
 
 
 async def test_new_client_evicts_the_one_idle_longest() -> None:
-    async with front_door(Backend(lambda words: None)) as (gateway, address):
+    async with front_door(Backend(lambda arguments: None)) as (gateway, address):
         gateway.clients.max_connections = 2
         first, second = await Client.open(address), await Client.open(address)
         assert await first.ask(resp("PING")) == b"PONG"
@@ -87,5 +87,5 @@
         gateway.clients.drain()
         client.send(query("a2"))
         assert await client.ended()
-        assert [words[2] for words in backend.commands] == [b"a1"]
+        assert [arguments[2] for arguments in backend.commands] == [b"a1"]
         assert not gateway.requests.open
--- a/tests/proxy/test_closing_races.py
+++ b/tests/proxy/test_closing_races.py
@@ -38,11 +38,11 @@
 async def test_retry_states_the_time_that_is_left() -> None:
     """A further attempt tells its backend no more time than the client has left."""
 
-    def told_ms(words: list[bytes]) -> int:
-        fields = dict(part.split(b"=") for part in words[3].split(b","))
+    def stated_ms(arguments: list[bytes]) -> int:
+        fields = dict(part.split(b"=") for part in arguments[3].split(b","))
         return int(fields[b"d"])
 
-    backends = [Backend(lambda words: None), Backend(lambda words: None)]
+    backends = [Backend(lambda arguments: None), Backend(lambda arguments: None)]
     async with front_door(*backends) as (gateway, address):
         client = await Client.open(address)
         client.send(query("a1", wait_ms=3000))
@@ -54,7 +54,7 @@
             await asyncio.sleep(0)
         left_ms = (gateway.requests.open["a1"].end_us - gateway.requests.open["a1"].arrived_us) / 1000 - 100
         second = next(one for one in backends if one is not first)
-        assert told_ms(second.commands[0]) <= left_ms
+        assert stated_ms(second.commands[0]) <= left_ms
         second.writers[0].write(value(b"ok"))
         assert await client.answer() == b"ok"
 
@@ -101,7 +101,7 @@
 async def test_partial_answer_at_a_close_ends_the_attempt_once() -> None:
     """Half a line, then the end: the attempt may have run, and its request gets one answer."""
 
-    backend = Backend(lambda words: None)
+    backend = Backend(lambda arguments: None)
     async with front_door(backend) as (_, address):
         client = await Client.open(address)
         client.send(resp("SVC.SUBMIT", "00000000b4d65521", "u1", "c=settle,t=team,d=2000", "B"))
--- a/tests/proxy/test_command_parser.py
+++ b/tests/proxy/test_command_parser.py
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize(
-    "words",
+    "arguments",
     [
         ("GET", "x"),
         ("svc.query", CUSTOMER, "a", FIELDS),
@@ -46,11 +46,11 @@
         ("PING", "a", "b"),
     ],
 )
-async def test_wrong_command_gets_an_error_without_a_close(words: tuple[str, ...]) -> None:
+async def test_wrong_command_gets_an_error_without_a_close(arguments: tuple[str, ...]) -> None:
     backend = Backend()
     async with front_door(backend) as (_, address):
         client = await Client.open(address)
-        assert str(await client.ask(resp(*words))).startswith("-ERR ")
+        assert str(await client.ask(resp(*arguments))).startswith("-ERR ")
         assert await client.ask(resp("PING")) == b"PONG"
         assert backend.commands == []
 
@@ -66,9 +66,9 @@
     name: bytes, fields: list[tuple[str, str]], body: bool
 ) -> None:
     text = ",".join(f"{key}={word}" for key, word in fields)
-    words = [name, CUSTOMER.encode(), b"a1", text.encode(), *[b"B"] * body]
+    arguments = [name, CUSTOMER.encode(), b"a1", text.encode(), *[b"B"] * body]
     try:
-        command = PARSER.parse(words, 0)
+        command = PARSER.parse(arguments, 0)
     except CommandError:
         return
     assert command.request.time_left_us == 500_000
--- a/tests/proxy/test_command_reader.py
+++ b/tests/proxy/test_command_reader.py
@@ -43,7 +43,7 @@
 
 @given(st.lists(WORDS, max_size=4), st.lists(st.integers(0, 400), max_size=6))
 def test_commands_do_not_depend_on_how_they_are_cut(commands: list[list[bytes]], cuts: list[int]) -> None:
-    data, reader, found = b"".join(resp(*words) for words in commands), CommandReader(), []
+    data, reader, found = b"".join(resp(*arguments) for arguments in commands), CommandReader(), []
     places = [0, *sorted(min(cut, len(data)) for cut in cuts), len(data)]
     for start, end in pairwise(places):
         found += reader.feed(data[start:end])
--- a/tests/proxy/test_connection_state.py
+++ b/tests/proxy/test_connection_state.py
@@ -102,7 +102,7 @@
 
 async def test_client_half_closes_amid_a_long_value(entered: list[ConnectionState]) -> None:
     """The row from STREAMING to CLIENT_LEFT: the sweep finds the end, as nothing is read."""
-    backend = Backend(lambda words: HEAD + LONG[:1000])
+    backend = Backend(lambda arguments: HEAD + LONG[:1000])
     async with streaming_client(backend) as (gateway, client, _):
         client.writer.write_eof()
         assert await client.ended()
@@ -115,7 +115,7 @@
 
 async def test_long_value_breaks_amid_the_stream(entered: list[ConnectionState]) -> None:
     """The row from STREAMING to CLOSING."""
-    backend = Backend(lambda words: HEAD + LONG[:1000])
+    backend = Backend(lambda arguments: HEAD + LONG[:1000])
     async with streaming_client(backend) as (gateway, client, _):
         backend.writers[0].transport.abort()
         assert await client.ended()
@@ -126,7 +126,7 @@
 
 async def test_drain_amid_a_long_value_closes_behind_it(entered: list[ConnectionState]) -> None:
     """The rows from STREAMING over ANSWERING and IDLE to CLOSING."""
-    backend = Backend(lambda words: HEAD + LONG[:1000])
+    backend = Backend(lambda arguments: HEAD + LONG[:1000])
     async with streaming_client(backend) as (gateway, client, connection):
         gateway.clients.read_no_more()
         assert connection.state is STREAMING
@@ -140,10 +140,10 @@
 
 
 async def test_command_is_read_again_behind_a_long_value(entered: list[ConnectionState]) -> None:
-    backend = Backend(lambda words: HEAD + LONG[:1000])
+    backend = Backend(lambda arguments: HEAD + LONG[:1000])
     async with streaming_client(backend) as (_, client, connection):
         assert not connection.is_reading
-        backend.answer = lambda words: value(b"second")
+        backend.answer = lambda arguments: value(b"second")
         client.send(query("a2"))
         backend.writers[0].write(LONG[1000:] + TAIL)
         await client.reader.readexactly(len(LONG) - 1000 + 2)
@@ -156,7 +156,7 @@
     ("owed", "is_reading"), [(MAX_PIPELINED_COMMANDS - 1, True), (MAX_PIPELINED_COMMANDS, False)]
 )
 async def test_reading_pauses_at_the_last_pipelined_command(owed: int, is_reading: bool) -> None:
-    backend = Backend(lambda words: None)
+    backend = Backend(lambda arguments: None)
     async with front_door(backend) as (gateway, address):
         client = await Client.open(address)
         client.send(b"".join(query(f"a{number}") for number in range(owed)))
@@ -169,7 +169,7 @@
 @pytest.mark.refusals
 async def test_close_while_an_answer_is_owed_is_refused(entered: list[ConnectionState]) -> None:
     """The row of ANSWERING, which no close follows."""
-    backend = Backend(lambda words: None)
+    backend = Backend(lambda arguments: None)
     async with front_door(backend) as (gateway, address):
         client = await Client.open(address)
         client.send(query("a1"))
@@ -187,7 +187,7 @@
 
 
 async def test_client_half_closes_while_an_answer_is_owed(entered: list[ConnectionState]) -> None:
-    backend = Backend(lambda words: None)
+    backend = Backend(lambda arguments: None)
     async with front_door(backend) as (gateway, address):
         client = await Client.open(address)
         client.send(query("a1"))
@@ -201,7 +201,7 @@
 
 async def test_error_line_waits_for_what_is_owed_before_it(entered: list[ConnectionState]) -> None:
     """FINISHING: what comes meanwhile is dropped, and the close comes behind the last answer."""
-    backend = Backend(lambda words: None)
+    backend = Backend(lambda arguments: None)
     async with front_door(backend) as (gateway, address):
         client = await Client.open(address)
         client.send(query("a1") + b"?")
--- a/tests/proxy/test_deadlines.py
+++ b/tests/proxy/test_deadlines.py
@@ -26,8 +26,8 @@
         return await self.loop.create_connection(*args)
 
 
-def told_ms(words: list[bytes]) -> int:
-    fields = dict(part.split("=") for part in words[3].decode().split(","))
+def stated_ms(arguments: list[bytes]) -> int:
+    fields = dict(part.split("=") for part in arguments[3].decode().split(","))
     return int(fields["d"])
 
 
@@ -36,7 +36,7 @@
 ) -> None:
     came_s: list[float] = []
 
-    def answer(words: list[bytes]) -> bytes:
+    def answer(arguments: list[bytes]) -> bytes:
         came_s.append(time.monotonic())
         return b"-BUSY\r\n"  # so that a further attempt follows, which waits for a connection too
 
@@ -48,9 +48,9 @@
         sent_s = time.monotonic()
         await client.ask(query("a1", wait_ms=WAIT_MS))
     assert len(backend.commands) == 3
-    for words, at_s in zip(backend.commands, came_s, strict=True):
+    for arguments, at_s in zip(backend.commands, came_s, strict=True):
         left_ms = WAIT_MS - (at_s - sent_s) * 1000
-        assert told_ms(words) <= left_ms + SLACK_MS
+        assert stated_ms(arguments) <= left_ms + SLACK_MS
 
 
 async def test_command_not_written_in_time_is_abandoned(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -76,7 +76,7 @@
 
 async def test_reply_unread_at_timeout_is_read() -> None:
     """After a long turn of the event loop timers go ahead of what has come meanwhile."""
-    backend = Backend(lambda words: None)
+    backend = Backend(lambda arguments: None)
     sender = Sender(await backend.start())
     attempt = sender.send()
     await backend.came.wait()
--- a/tests/proxy/test_endpoint_watch.py
+++ b/tests/proxy/test_endpoint_watch.py
@@ -28,11 +28,11 @@
 
 async def news_of(watch: Watch, count: int, version: int = 0) -> list[EndpointUpdate]:
     """The first news that a watch brings."""
-    heard: asyncio.Queue[EndpointUpdate] = asyncio.Queue()
-    found = EndpointWatcher(await watch.start(), EndpointListReader(CONFIG), version, heard.put_nowait)
+    received: asyncio.Queue[EndpointUpdate] = asyncio.Queue()
+    found = EndpointWatcher(await watch.start(), EndpointListReader(CONFIG), version, received.put_nowait)
     task = asyncio.create_task(found.run())
     try:
-        return [await heard.get() for _ in range(count)]
+        return [await received.get() for _ in range(count)]
     finally:
         task.cancel()
 
@@ -209,19 +209,19 @@
     monkeypatch.setattr(endpoint_watch, "SILENCE_LIMIT_S", 0.2)
 
     opened: asyncio.Queue[asyncio.StreamWriter] = asyncio.Queue()
-    heard: asyncio.Queue[EndpointUpdate] = asyncio.Queue()
+    received: asyncio.Queue[EndpointUpdate] = asyncio.Queue()
 
     async def play(writer: asyncio.StreamWriter) -> None:
         opened.put_nowait(writer)
         await asyncio.Event().wait()
 
     found = EndpointWatcher(
-        await Watch(play).start(), EndpointListReader(CONFIG), 0, heard.put_nowait, 3, 200
+        await Watch(play).start(), EndpointListReader(CONFIG), 0, received.put_nowait, 3, 200
     )
     task = asyncio.create_task(found.run())
     writers = [await opened.get(), await opened.get()]
     writers[answered].write(LIST)
-    assert (await heard.get()).event.version == 4
+    assert (await received.get()).event.version == 4
     task.cancel()
 
 
@@ -230,10 +230,10 @@
     """In the largest tier a try that is refused is followed by 40 s of waiting, and 4 s are what there is."""
 
     async def job() -> None:
-        heard: asyncio.Queue[EndpointUpdate] = asyncio.Queue()
+        received: asyncio.Queue[EndpointUpdate] = asyncio.Queue()
         new = await Watch(script(HEAD + chunk(catalog(9, [])))).start()
         old = refusing_address() if phase == "waiting" else await Watch(script(LIST)).start()
-        found = EndpointWatcher(old, EndpointListReader(CONFIG), 0, heard.put_nowait, 3, 200)
+        found = EndpointWatcher(old, EndpointListReader(CONFIG), 0, received.put_nowait, 3, 200)
         pause, reached = found.pause, asyncio.Event()
 
         async def paused(wait_s: float) -> None:
@@ -257,10 +257,10 @@
         if phase == "waiting":
             await reached.wait()
         if phase == "watching":
-            assert (await heard.get()).event.version == 4
+            assert (await received.get()).event.version == 4
         if phase != "connecting":
             found.move(new)
-        while (await heard.get()).event.version != 9:
+        while (await received.get()).event.version != 9:
             pass
         task.cancel()
 
@@ -288,41 +288,41 @@
 async def test_known_list_serves_while_discovery_is_silent() -> None:
     known = {"generation": 3, "reset": True, "instances": [entry("s1", AT)]}
     gateway = GatewayServer(replace(CONFIG, known=known, discovery=await Watch(script()).start()))
-    heard: list[Event] = []
-    gateway.core.handle = lambda now, event: heard.append(event) or []
+    received: list[Event] = []
+    gateway.core.handle = lambda now, event: received.append(event) or []
     await gateway.start()
-    assert [event.kind for event in heard if isinstance(event, EndpointList)] == [EndpointListKind.SAVED]
+    assert [event.kind for event in received if isinstance(event, EndpointList)] == [EndpointListKind.SAVED]
     assert gateway.discovery.version == 3 and list(gateway.backends.pools) == ["s1"]
     gateway.close()
 
 
 async def test_peer_messages_arrive_and_strangers_are_dropped() -> None:
-    loop, heard = asyncio.get_running_loop(), asyncio.Queue()
+    loop, received = asyncio.get_running_loop(), asyncio.Queue()
     stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     ports = [refusing_address(), refusing_address()]
-    me, friend = (Peers(tuple(ports), number, heard.put_nowait) for number in (0, 1))
+    me, friend = (Peers(tuple(ports), number, received.put_nowait) for number in (0, 1))
     for peers, at in zip((me, friend), ports, strict=True):
         await loop.create_datagram_endpoint(lambda peers=peers: peers, local_addr=at)
-    words = tuple(GossipMessage(n, 0, 0, 2, demand=1.0) for n in range(30))
+    arguments = tuple(GossipMessage(n, 0, 0, 2, demand=1.0) for n in range(30))
     with stranger:
-        stranger.sendto(pack_message(words[:1])[0], ports[0])
+        stranger.sendto(pack_message(arguments[:1])[0], ports[0])
     friend.transport.sendto(b"x" * 7, ports[0])
-    friend.transport.sendto(pack_message(words)[0] * 2, ports[0])  # longer than the wire allows
-    friend.send(SendGossip(0, words))
+    friend.transport.sendto(pack_message(arguments)[0] * 2, ports[0])  # longer than the wire allows
+    friend.send(SendGossip(0, arguments))
     got: tuple[GossipMessage, ...] = ()
-    while len(got) < len(words):
-        message = await heard.get()
+    while len(got) < len(arguments):
+        message = await received.get()
         assert message.sender == 1
         got += message.messages
-    assert got == words and heard.empty()
+    assert got == arguments and received.empty()
 
 
-def first_tries(doors: int, monkeypatch: pytest.MonkeyPatch) -> list[list[float]]:
+def first_tries(gateway_count: int, monkeypatch: pytest.MonkeyPatch) -> list[list[float]]:
     """When each gateway of a tier comes back to a discovery that refuses, on a clock of the test's own."""
 
     async def tries(seed: int) -> list[float]:
         found = EndpointWatcher(
-            AT, EndpointListReader(CONFIG), 1, lambda news: None, seed, doors, is_agent=False
+            AT, EndpointListReader(CONFIG), 1, lambda news: None, seed, gateway_count, is_agent=False
         )
         waits: list[float] = []
 
@@ -340,7 +340,7 @@
             await found.run()
         return [sum(waits[:n]) for n in range(1, 7)]
 
-    return [asyncio.run(tries(seed)) for seed in range(doors)]
+    return [asyncio.run(tries(seed)) for seed in range(gateway_count)]
 
 
 def test_tier_returns_no_faster_than_discovery_serves(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/proxy/test_graceful_drain.py
+++ b/tests/proxy/test_graceful_drain.py
@@ -35,7 +35,7 @@
 async def test_drain_waits_for_partial_commands_and_answers() -> None:
     """What is half read and what is half written."""
     long = b"x" * 60_000
-    backend = Backend(lambda words: value(long))
+    backend = Backend(lambda arguments: value(long))
     async with front_door(backend) as (gateway, address):
         half, slow = await Client.open(address), await Client.open(address)
         half.send(query("a1")[:-1])
@@ -61,7 +61,7 @@
 async def test_drain_reads_no_further_than_what_is_open() -> None:
     """What is read later than a while after SIGTERM has to be answered before SIGKILL."""
 
-    backend = Backend(lambda words: None)
+    backend = Backend(lambda arguments: None)
     async with front_door(backend) as (gateway, address):
         kept, half = await Client.open(address), await Client.open(address)
         kept.send(query("a1"))
@@ -80,7 +80,7 @@
             writer.write(value(b"at last"))
         assert await kept.answer() == b"at last" and await half.answer() == b"at last"
         assert await kept.ended() and await half.ended()
-        assert all(words[2] != b"a2" for words in backend.commands)
+        assert all(arguments[2] != b"a2" for arguments in backend.commands)
         await draining
 
 
@@ -89,7 +89,7 @@
     """Part of it waits here when the drain begins, and for as long as the client takes none."""
 
     long = bytes(1 << 20)
-    backend = Backend(lambda words: value(long))
+    backend = Backend(lambda arguments: value(long))
     async with front_door(backend) as (gateway, address):
         slow = await Client.open(address)
         slow.writer.transport.pause_reading()
@@ -114,7 +114,7 @@
 async def test_drain_waits_for_queued_requests() -> None:
     """Nothing of them has been sent when it begins: their customer has as many out as it may."""
 
-    backend = Backend(lambda words: None)
+    backend = Backend(lambda arguments: None)
     plans = (Plan(rate=1000.0, burst=1000.0, max_in_flight=1),)
     settings = replace(SETTINGS, plans=plans, gateway_count=1)
     async with front_door(backend, settings=settings) as (gateway, address):
@@ -159,7 +159,7 @@
 async def test_drain_answers_commands_pipelined_behind_another(first: bytes) -> None:
     """It came in one piece with what was answered in the same turn, after which the connection would rest."""
 
-    backend = Backend(lambda words: None)
+    backend = Backend(lambda arguments: None)
     async with front_door(backend) as (gateway, address):
         client = await Client.open(address)
         client.send(first[:-1])
--- a/tests/proxy/test_guards.py
+++ b/tests/proxy/test_guards.py
@@ -172,7 +172,7 @@
 @contextlib.asynccontextmanager
 async def held_request(command: bytes) -> AsyncIterator[tuple[GatewayServer, RequestExchange, Backend]]:
     """A request that the core has been made to hold, so that the test acts for the core."""
-    backend = Backend(lambda words: None)
+    backend = Backend(lambda arguments: None)
     async with front_door(backend) as (gateway, address):
         gateway.core.queue.dequeue = lambda: None
         client = await Client.open(address)
@@ -260,12 +260,12 @@
 
 async def test_requests_behind_a_broken_long_value_are_answered() -> None:
     answers = {b"a1": None, b"a2": value(b"second")}
-    backend = Backend(lambda words: answers[words[2]])
+    backend = Backend(lambda arguments: answers[arguments[2]])
     async with front_door(backend) as (gateway, address):
         client = await Client.open(address)
         client.send(query("a1") + query("a2"))
         await until(lambda: len(backend.commands) == 2 and "a2" not in gateway.requests.open)
-        first = next(n for n, words in enumerate(backend.commands) if words[2] == b"a1")
+        first = next(n for n, arguments in enumerate(backend.commands) if arguments[2] == b"a1")
         answers[b"a1"] = b"-ERR failed\r\n"
         backend.writers[first].write(LONG_HEAD + LONG[:1000])
         await until(lambda: gateway.requests.buffered_bytes)
@@ -278,7 +278,7 @@
 
 async def test_no_command_is_read_while_a_long_value_streams() -> None:
     """Its break ends the connection; what was not read the client sends on a new one."""
-    backend = Backend(lambda words: LONG_HEAD + LONG[:1000])
+    backend = Backend(lambda arguments: LONG_HEAD + LONG[:1000])
     async with front_door(backend) as (gateway, address):
         client = await Client.open(address)
         client.send(query("a1"))
--- a/tests/proxy/test_handover.py
+++ b/tests/proxy/test_handover.py
@@ -124,7 +124,9 @@
 
 
 @contextlib.asynccontextmanager
-async def doors(backend: Backend, tmp_path: Path) -> AsyncIterator[tuple[Config, list[GatewayServer]]]:
+async def gateway_count(
+    backend: Backend, tmp_path: Path
+) -> AsyncIterator[tuple[Config, list[GatewayServer]]]:
     """A configuration on an inherited socket, and the front doors to close at the end."""
     listed = catalog(7, [entry("s0", await backend.start())])
 
@@ -158,8 +160,10 @@
 
 def test_successor_takes_over_and_no_request_is_lost(tmp_path: Path) -> None:
     async def job() -> None:
-        backend = Backend(lambda words: None if words[2] == b"a2" else b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n")
-        async with doors(backend, tmp_path) as (config, started):
+        backend = Backend(
+            lambda arguments: None if arguments[2] == b"a2" else b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n"
+        )
+        async with gateway_count(backend, tmp_path) as (config, started):
             old = await start(config, started)
             idle, busy = [await Client.open(config.listen) for _ in range(2)]
             assert await idle.ask(query("a1")) == b"ok"
@@ -189,7 +193,7 @@
     monkeypatch.setattr(process_lifecycle, "REPLACED_STAY_S", 0.01)
 
     async def job() -> None:
-        async with doors(Backend(), tmp_path) as (config, started):
+        async with gateway_count(Backend(), tmp_path) as (config, started):
             old = await start(config, started)
             await start(config, started)
             await old.process.finished.wait()
@@ -223,7 +227,7 @@
     async def job() -> None:
         path = tmp_path / process_handover.HANDOVER_SOCKET
         server = await asyncio.start_unix_server(serve, str(path))
-        async with doors(Backend(), tmp_path) as (config, started):
+        async with gateway_count(Backend(), tmp_path) as (config, started):
             new = await start(config, started)
             client = await Client.open(config.listen)
             assert await client.ask(query("a1")) == b"ok" and new.operator_drain.is_serving()
@@ -236,7 +240,7 @@
     async def job() -> None:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
             taken.bind((HOST, 0))
-            async with doors(Backend(), tmp_path) as (config, started):
+            async with gateway_count(Backend(), tmp_path) as (config, started):
                 door = await start(replace(config, peer_listen=taken.getsockname()), started)
                 client = await Client.open(config.listen)
                 assert await client.ask(query("a1")) == b"ok"  # of a plan without a ceiling
@@ -250,7 +254,7 @@
 
 def test_stranger_at_the_handover_path_ends_nothing(tmp_path: Path) -> None:
     async def job() -> None:
-        async with doors(Backend(), tmp_path) as (config, started):
+        async with gateway_count(Backend(), tmp_path) as (config, started):
             door = await start(config, started)
             for line in (b"what\n", b'{"version":1,"say":"serving"}\n', b'{"version":1,"say":"TwinEnd"}\n'):
                 reader, writer = await asyncio.open_unix_connection(str(door.handover.peer.path))
--- a/tests/proxy/test_long_values.py
+++ b/tests/proxy/test_long_values.py
@@ -35,7 +35,7 @@
         backend_pool, "REUSE_DELAY_US", 0
     )  # what is asked is whether its connection is good afterwards
 
-    backend = Backend(lambda words: HEAD + LONG[:1000])
+    backend = Backend(lambda arguments: HEAD + LONG[:1000])
     async with front_door(backend) as (gateway, address):
         client = await Client.open(address)
         client.send(query("a1", wait_ms=600))
@@ -48,13 +48,13 @@
         assert rest == LONG[1000:] + b"\r\n"
         await until(lambda: not gateway.requests.open and not gateway.core.requests)
         assert gateway.figures.ended["read"][RequestOutcome.ANSWERED] == 1
-        backend.answer = lambda words: value(b"ok")
+        backend.answer = lambda arguments: value(b"ok")
         assert await client.ask(query("a2")) == b"ok" and backend.opened == 1
 
 
 @pytest.mark.parametrize("size", [1, 7, 40_000])
 async def test_long_value_may_come_in_pieces_of_any_size(size: int) -> None:
-    backend = Backend(lambda words: None)
+    backend = Backend(lambda arguments: None)
     async with front_door(backend) as (_, address):
         client = await Client.open(address)
         client.send(query("a1"))
@@ -70,7 +70,7 @@
 
 @pytest.mark.parametrize("end", [b"", b"\r\n$-1\r\n?", b"xx$-1\r\n$-1\r\n"])
 async def test_broken_long_value_closes_the_connection(end: bytes) -> None:
-    backend = Backend(lambda words: HEAD + (LONG + end if end else LONG[:1000]))
+    backend = Backend(lambda arguments: HEAD + (LONG + end if end else LONG[:1000]))
     async with front_door(backend) as (gateway, address):
         client = await Client.open(address)
         client.send(query("a1"))
@@ -87,12 +87,12 @@
 async def test_answers_keep_their_order_round_a_long_value() -> None:
     answers = {b"a1": None, b"a2": HEAD + LONG + TAIL, b"a3": value(b"third")}
 
-    backend = Backend(lambda words: answers[words[2]])
+    backend = Backend(lambda arguments: answers[arguments[2]])
     async with front_door(backend) as (gateway, address):
         client = await Client.open(address)
         client.send(query("a1") + query("a2") + query("a3") + resp("PING"))
         await until(lambda: len(backend.commands) == 3 and "a3" not in gateway.requests.open)
-        first = next(n for n, words in enumerate(backend.commands) if words[2] == b"a1")
+        first = next(n for n, arguments in enumerate(backend.commands) if arguments[2] == b"a1")
         backend.writers[first].write(value(b"first"))
         assert [await client.answer() for _ in range(4)] == [b"first", LONG, b"third", b"PONG"]
 
@@ -112,7 +112,7 @@
     monkeypatch.setattr(send_backlog, "MIN_BACKLOG_BYTES", 100_000)
     body = b"*1\r\n$%d\r\n%b\r\n" % (size, b"x" * size)
 
-    backend = Backend(lambda words: body)
+    backend = Backend(lambda arguments: body)
     async with front_door(backend, memory_mb=0) as (gateway, address):
         with contextlib.ExitStack() as stack:
             slow = [stack.enter_context(slow_client(address)) for _ in range(count)]
@@ -138,7 +138,7 @@
     """What memory allows is taken off the backend's hands: its attempt counts as out until then."""
 
     size = 2 << 20
-    backend = Backend(lambda words: b"*1\r\n$%d\r\n%b\r\n" % (size, b"x" * size))
+    backend = Backend(lambda arguments: b"*1\r\n$%d\r\n%b\r\n" % (size, b"x" * size))
     async with front_door(backend, memory_mb=80) as (gateway, address):
         with slow_client(address) as client:
             client.sendall(query("a1"))
@@ -146,7 +146,7 @@
 
 
 async def test_client_that_leaves_amid_a_value_ends_the_attempt() -> None:
-    backend = Backend(lambda words: HEAD + LONG[:1000])
+    backend = Backend(lambda arguments: HEAD + LONG[:1000])
     async with front_door(backend) as (gateway, address):
         client = await Client.open(address)
         client.send(query("a1"))
@@ -161,7 +161,7 @@
 async def test_stalled_long_value_is_cut(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(request_lifecycle, "SEND_STALL_TIMEOUT_S", 0.1)
 
-    backend = Backend(lambda words: HEAD + LONG[:1000])
+    backend = Backend(lambda arguments: HEAD + LONG[:1000])
     async with front_door(backend) as (_, address):
         client = await Client.open(address)
         with pytest.raises((EOFError, ConnectionError)):
--- a/tests/proxy/test_main.py
+++ b/tests/proxy/test_main.py
@@ -184,7 +184,7 @@
 
 
 async def test_further_signals_in_a_drain_change_nothing(tmp_path: Path) -> None:
-    backend = Backend(lambda words: None)
+    backend = Backend(lambda arguments: None)
     process, address = await start(tmp_path, backend)
     client = await Client.open(address)
     client.send(resp("SVC.QUERY", CUSTOMER, "a1", "c=read,t=team,d=5000"))
@@ -209,9 +209,9 @@
     backend = Backend()
     process, address = await start(tmp_path, backend)
     config_path = tmp_path / "config.json"
-    told = json.loads(config_path.read_text())
+    stated = json.loads(config_path.read_text())
     at = await Watch(script).start()
-    for text in ("{", json.dumps(told | {"discovery": f"{at[0]}:{at[1]}"})):
+    for text in ("{", json.dumps(stated | {"discovery": f"{at[0]}:{at[1]}"})):
         config_path.write_text(text)
         process.send_signal(signal.SIGHUP)
         await said(process, b"configuration")
--- a/tests/proxy/test_management.py
+++ b/tests/proxy/test_management.py
@@ -100,7 +100,7 @@
 async def test_counters_count_since_the_start() -> None:
     answers = {b"a1": value(b"ok"), b"a2": b"-BUSY\r\n", b"a3": b"-ERR failed\r\n"}
 
-    backend = Backend(lambda words: answers.get(words[2]))
+    backend = Backend(lambda arguments: answers.get(arguments[2]))
     changes = {"max_attempts": 1, "may_hedge": False}
     async with operated(backend, settings=replace(SETTINGS, **changes)) as (gateway, address):
         client = await Client.open(address)
--- a/tests/proxy/test_overload.py
+++ b/tests/proxy/test_overload.py
@@ -31,7 +31,7 @@
 
 
 async def test_request_over_the_open_limit_is_rejected_at_once() -> None:
-    backend = Backend(lambda words: None)
+    backend = Backend(lambda arguments: None)
     async with operated(backend, max_open=3) as (gateway, address):
         client, other = await Client.open(address), await Client.open(address)
         client.send(flood(3))
@@ -44,14 +44,14 @@
         assert metrics['proxy_deferred_total{group="read"}'] == 1
         client.writer.close()
         await until(lambda: not gateway.requests.open and not gateway.core.requests.open_count)
-        backend.answer = lambda words: value(b"ok")
+        backend.answer = lambda arguments: value(b"ok")
         assert await other.ask(query("a2")) == b"ok"
 
 
 async def test_bytes_of_open_requests_are_bounded_by_memory(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(process_limits, "MIN_COMMAND_BYTES", 100_000)
 
-    backend = Backend(lambda words: None)
+    backend = Backend(lambda arguments: None)
     async with front_door(backend, memory_mb=32) as (gateway, address):
         client, other = await Client.open(address), await Client.open(address)
         client.send(submit("f1", body=b"B" * 60_000))
@@ -92,15 +92,15 @@
         rude, polite = await Client.open(address), await Client.open(address)
         rude.send(flood(100))
         for n in range(5):
-            words = resp("SVC.QUERY", f"{n + 1:016x}", f"a{n}", "c=read,t=team,d=3000")
-            assert await polite.ask(words) == b"ok"
+            arguments = resp("SVC.QUERY", f"{n + 1:016x}", f"a{n}", "c=read,t=team,d=3000")
+            assert await polite.ask(arguments) == b"ok"
             assert (await call(gateway, "GET /healthcheck"))[0] == 200
         answers = [await rude.answer() for _ in range(100)]
         assert sum(str(answer).startswith("-BUSY ") for answer in answers) >= 80
 
 
 async def test_no_work_is_left_behind_an_overload() -> None:
-    backend = Backend(lambda words: None)  # all backends slow at once
+    backend = Backend(lambda arguments: None)  # all backends slow at once
     async with operated(backend) as (gateway, address):
         client = await Client.open(address)
         client.send(b"".join(query(f"f{n}", wait_ms=400) for n in range(60)))
@@ -115,7 +115,7 @@
             and gateway.requests.open_command_bytes == 0
             and not gateway.core.requests
         )
-        backend.answer = lambda words: value(b"ok")
+        backend.answer = lambda arguments: value(b"ok")
         number, answer = 0, None
         while answer != b"ok":
             answer, number = await client.ask(query(f"a{number}")), number + 1
--- a/tests/proxy/test_policy_admission.py
+++ b/tests/proxy/test_policy_admission.py
@@ -73,8 +73,8 @@
 
 async def test_admission_is_suspended_when_the_policy_may_not_hold() -> None:
     async with front_door(Backend(), policy=under_policy()) as (gateway, at):
-        time, heard = FakeClock(), FakeClock()
-        gateway.policy_guard.clock, gateway.policy_guard.last_contact_s = time, heard
+        time, received = FakeClock(), FakeClock()
+        gateway.policy_guard.clock, gateway.policy_guard.last_contact_s = time, received
         gateway.policy_guard.last_check_s = time.now
         client = await Client.open(at)
 
@@ -88,9 +88,9 @@
             and gateway.management_handlers.enter_service()[0] == 200
             and await served("c")
         )
-        heard.now -= 6  # its agent is silent
+        received.now -= 6  # its agent is silent
         assert not await served("d") and gateway.management_handlers.enter_service()[0] == 409
-        heard.now = time.now
+        received.now = time.now
         assert gateway.management_handlers.enter_service()[0] == 200 and await served("e")
         ends = round((time.now + 0.5) * 1e6)
         gateway.reload(replace(gateway.active.config, policy=under_policy(number=2, until_us=ends)))
--- a/tests/proxy/test_server.py
+++ b/tests/proxy/test_server.py
@@ -30,7 +30,7 @@
 
 async def test_value_is_forwarded_byte_for_byte() -> None:
     body = bytes(range(256)) * 256  # 64 KiB, with line ends and nulls in it
-    backend = Backend(lambda words: value(body))
+    backend = Backend(lambda arguments: value(body))
     async with front_door(backend) as (_, address):
         client = await Client.open(address)
         assert await client.ask(submit("a1", body=body)) == body
@@ -51,7 +51,7 @@
 
 
 async def test_rejection_by_a_backend_is_never_forwarded() -> None:
-    backend = Backend(lambda words: b"-BUSY 123456\r\n")
+    backend = Backend(lambda arguments: b"-BUSY 123456\r\n")
     async with front_door(backend) as (_, address):
         client = await Client.open(address)
         assert await client.ask(submit("a1")) == "-BUSY 750"
@@ -63,7 +63,7 @@
 
 @pytest.mark.parametrize("answer", ODD_ANSWERS)
 async def test_unsafe_request_that_may_have_run_is_sent_once(answer: bytes) -> None:
-    backend = Backend(lambda words: answer)
+    backend = Backend(lambda arguments: answer)
     async with front_door(backend) as (_, address):
         client = await Client.open(address)
         assert await client.ask(submit("a1")) == "-ERR failed"
@@ -79,7 +79,7 @@
 
 
 async def test_request_is_answered_once_within_its_time() -> None:
-    backend = Backend(lambda words: None)
+    backend = Backend(lambda arguments: None)
     async with front_door(backend) as (gateway, address):
         client = await Client.open(address)
         client.send(submit("a1", wait_ms=300))
@@ -96,7 +96,7 @@
 
 
 async def test_client_that_leaves_ends_its_attempt() -> None:
-    backend = Backend(lambda words: None)
+    backend = Backend(lambda arguments: None)
     async with front_door(backend) as (gateway, address):
         client = await Client.open(address)
         client.send(query("a1"))
@@ -108,7 +108,7 @@
 
 async def test_duplicate_id_gets_an_error() -> None:
     """The first request with the id goes on."""
-    backend = Backend(lambda words: None)
+    backend = Backend(lambda arguments: None)
     async with front_door(backend) as (_, address):
         client, other = await Client.open(address), await Client.open(address)
         client.send(query("a1"))
@@ -198,7 +198,7 @@
 
 async def test_drain_serves_late_requests() -> None:
     """It answers all that came, and closes connections between requests."""
-    backend = Backend(lambda words: None if words[2] == b"slow" else value(b"ok"))
+    backend = Backend(lambda arguments: None if arguments[2] == b"slow" else value(b"ok"))
     async with front_door(backend) as (gateway, address):
         idle, busy = await Client.open(address), await Client.open(address)
         assert await idle.ask(resp("PING")) == b"PONG"
@@ -221,7 +221,7 @@
     monkeypatch.setattr(process_lifecycle, "SETTLE_S", 0.0)
     monkeypatch.setattr(process_lifecycle, "DRAIN_LOOK_S", 0.1)
 
-    backend = Backend(lambda words: None)
+    backend = Backend(lambda arguments: None)
     async with front_door(backend) as (gateway, address):
         busy = await Client.open(address)
         busy.send(submit("a1"))
--- a/tests/proxy/test_wait_queues.py
+++ b/tests/proxy/test_wait_queues.py
@@ -69,7 +69,7 @@
 
 
 async def test_attempt_over_the_connection_limit_is_rejected() -> None:
-    backend = Backend(lambda words: None)
+    backend = Backend(lambda arguments: None)
     async with front_door(backend) as (gateway, address):
         gateway.backends.most = 1
         client, other = await Client.open(address), await Client.open(address)
@@ -103,7 +103,7 @@
 
 async def test_silent_backend_times_out() -> None:
     """The backend accepts the connection and the command, and never answers."""
-    backend = Backend(lambda words: None)
+    backend = Backend(lambda arguments: None)
     async with operated(backend) as (gateway, address):
         client = await Client.open(address)
         client.send(query("a1", wait_ms=300))
@@ -135,11 +135,11 @@
             gateway,
             _,
         ):
-            told = SendGossip(1, (GossipMessage(1, 0, 0, 2),), waited_us=7)
+            stated = SendGossip(1, (GossipMessage(1, 0, 0, 2),), waited_us=7)
             gateway.peers.pause_writing()
-            gateway.peers.send(told)
+            gateway.peers.send(stated)
             gateway.peers.resume_writing()
-            gateway.peers.send(told)
+            gateway.peers.send(stated)
             assert (
                 queue_status(gateway, "peers").rejected == 1
                 and waits_count(queue_status(gateway, "peers").waits) == 2
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -71,8 +71,8 @@
         runner.run(bounded())
 
 
-def resp(*words: bytes | str) -> bytes:
-    parts = [word.encode() if isinstance(word, str) else word for word in words]
+def resp(*arguments: bytes | str) -> bytes:
+    parts = [word.encode() if isinstance(word, str) else word for word in arguments]
     return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%b\r\n" % (len(part), part) for part in parts)
 
 
@@ -96,7 +96,7 @@
 class Backend:
     """A backend: answers each command by a script; None keeps silent, b'' closes the connection."""
 
-    def __init__(self, answer: Answer = lambda words: value(b"ok")) -> None:
+    def __init__(self, answer: Answer = lambda arguments: value(b"ok")) -> None:
         self.answer, self.commands, self.opened = answer, [], 0
         self.commands: list[list[bytes]]
         self.came, self.left = asyncio.Event(), asyncio.Event()  # a command came; a connection ended
@@ -113,11 +113,11 @@
         with contextlib.suppress(OSError):
             while data := await reader.read(1 << 16):
                 parser.feed(data)
-                while (words := parser.gets()) is not False:
-                    self.commands.append(words)
+                while (arguments := parser.gets()) is not False:
+                    self.commands.append(arguments)
                     self.writers.append(writer)
                     self.came.set()
-                    answer = self.answer(words)
+                    answer = self.answer(arguments)
                     if answer == b"":
                         writer.transport.abort()
                     elif answer:
