--- a/tests/baseline/test_gateway.py
+++ b/tests/baseline/test_gateway.py
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize("path", STREAMS, ids=lambda path: path.name.partition(".")[0])
-def test_recorded_events_give_the_recorded_actions_to_the_letter(path: Path) -> None:
+def test_recorded_events_give_the_recorded_actions(path: Path) -> None:
     with gzip.open(path, "rt") as lines:
         for line in lines:
             stream = json.loads(line)
@@ -27,7 +27,8 @@
                 assert core.handle(now_us, decode(event)) == expected, (stream["process"], number, event)
 
 
-def test_the_recording_has_each_kind_of_event_and_thousands_of_them() -> None:
+def test_recording_covers_every_event_type() -> None:
+    """The recording has each type of event, and thousands of events."""
     counts: Counter[str] = Counter()
     for path in STREAMS:
         with gzip.open(path, "rt") as lines:
@@ -41,22 +42,23 @@
 @pytest.mark.parametrize(
     "case", read("datagrams.json"), ids=lambda case: f"{case['name']}, mark {case['mark']}"
 )
-def test_recorded_datagrams_are_encoded_and_decoded_as_recorded(case: dict) -> None:
-    words, sightings = decode(case["words"]), decode(case["sightings"])
+def test_recorded_datagrams_round_trip(case: dict) -> None:
+    messages = decode(case["words"])
+    observations = decode(case["sightings"])
     datagrams = [bytes.fromhex(data) for data in case["datagrams"]]
-    assert pack_message(words, sightings, case["mark"]) == datagrams
+    assert pack_message(messages, observations, case["mark"]) == datagrams
     assert [unpack_message(data) for data in datagrams] == [decode(value) for value in case["decoded"]]
     assert {mark_of(data) for data in datagrams} == {case["mark"]}
 
 
-def test_recorded_state_of_a_predecessor_is_read_and_written_as_recorded() -> None:
+def test_recorded_predecessor_state_round_trips() -> None:
     recorded = read("handover.json")
     state = from_plain(class_of("State"), recorded["state"])
     assert state == decode(recorded["decoded"])
     assert json.loads(json.dumps(to_plain(state))) == recorded["state"]
 
 
-def test_recorded_lines_of_a_hand_over_are_read_and_written_as_recorded() -> None:
+def test_recorded_handover_lines_round_trip() -> None:
     recorded = read("handover.json")
     for line, value in zip(recorded["lines"], recorded["records"], strict=True):
         record = from_plain(class_of(line["say"]), line["record"])
