--- a/orchidhatch/faults/cli.py
+++ b/orchidhatch/faults/cli.py
@@ -5,7 +5,8 @@
     python -m orchidhatch.trial again FILE
     python -m orchidhatch.trial shrink FILE
 
-Exit status 0: held; 1: broken; 2: called wrongly; 3: the machine was too slow, or the trial could not be run.
+Exit status 0: all checks held; 1: violations; 2: usage error; 3: the machine was slower than the checks
+allow for, or the trial could not be run.
 """
 
 import argparse
@@ -24,7 +25,7 @@
 from orchidhatch.faults.fleet import Fleet
 from orchidhatch.faults.invariants.check_trial import check_trial
 from orchidhatch.faults.invariants.trial_record import TrialRecord
-from orchidhatch.faults.invariants.violations import Verdict
+from orchidhatch.faults.invariants.violations import Verdict, Violation
 from orchidhatch.faults.loop_monitor import LoopMonitor
 from orchidhatch.faults.plan import PlanError, Script, draw, read_plan, read_script
 from orchidhatch.faults.processes import ROOT, TrialError
@@ -32,15 +33,19 @@
 from orchidhatch.faults.seeded_defects import SEEDED_DEFECTS
 
 PLANS = ROOT / "trials"
-HELD, BROKEN, WRONG, UNSAID = 0, 1, 2, 3
-MOST_TOLD = 5  # breaks that are told with their stories
-MOST_SHRINKS = 60  # trials that a shrink may take
+EXIT_HELD = 0
+EXIT_VIOLATED = 1
+EXIT_USAGE = 2
+EXIT_INCONCLUSIVE = 3
+RESULT_OF_STATUS = {EXIT_HELD: "held", EXIT_VIOLATED: "BROKEN", EXIT_INCONCLUSIVE: "cannot say"}
+MAX_DETAILED_VIOLATIONS = 5
+MAX_SHRINK_TRIALS = 60
 
 
-async def play(script: Script, folder: Path, plant: str) -> None:
-    """The whole trial; its events are in the folder afterwards, whatever happened."""
+async def carry_out(script: Script, folder: Path, defect: str) -> None:
+    """Carry out the trial; its events are in the folder afterwards, even after an error."""
     recorder = Recorder("trial", folder)
-    fleet = Fleet(script, folder, recorder, plant)
+    fleet = Fleet(script, folder, recorder, defect)
     monitor = LoopMonitor(recorder)
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -56,105 +61,121 @@
         recorder.close()
 
 
-def run(script: Script, folder: Path, plant: str = "") -> tuple[Verdict, TrialRecord]:
-    """Play and judge. Script, events and logs are left in the folder."""
+def run(script: Script, folder: Path, defect: str = "") -> tuple[Verdict, TrialRecord]:
+    """Carry out a trial and check it. Script, events and logs stay in the folder."""
     folder.mkdir(parents=True, exist_ok=True)
     (folder / "script.json").write_bytes(msgspec.json.format(msgspec.json.encode(script), indent=1))
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(play(script, folder, plant))
+        runner.run(carry_out(script, folder, defect))
     return check_trial(gather(folder, folder / "trial.db"), script.plan)
 
 
-def error_body(verdict: Verdict, trial: TrialRecord) -> str:
-    lines = [f"{one.check}: {one.about}: {one.text}" for one in verdict.violations]
-    for one in verdict.violations[:MOST_TOLD]:
-        lines += ["", f"{one.check}: {one.about}: {one.text}", *trial.story(one.about)]
-    lines += [f"cannot say: {why}" for why in verdict.too_slow]
-    lines += [f"SKIPPED: {what}" for what in verdict.skipped]
+def violation_line(violation: Violation) -> str:
+    """The line that reports a violation."""
+    return f"{violation.check}: {violation.about}: {violation.text}"
+
+
+def verdict_text(verdict: Verdict, trial: TrialRecord) -> str:
+    """The report of a verdict: its violations, the events of the first few of them, and the figures."""
+    lines = [violation_line(violation) for violation in verdict.violations]
+    for violation in verdict.violations[:MAX_DETAILED_VIOLATIONS]:
+        lines += ["", violation_line(violation), *trial.story(violation.about)]
+    lines += [f"cannot say: {reason}" for reason in verdict.too_slow]
+    lines += [f"SKIPPED: {skipped}" for skipped in verdict.skipped]
     lines += [" ".join(f"{key}={value:g}" for key, value in verdict.figures.items())]
     return "\n".join(lines)
 
 
-def status_of(verdict: Verdict) -> int:
-    return UNSAID if verdict.too_slow else BROKEN if verdict.violations else HELD
+def exit_status(verdict: Verdict) -> int:
+    """The exit status for a verdict."""
+    if verdict.too_slow:
+        return EXIT_INCONCLUSIVE
+    return EXIT_VIOLATED if verdict.violations else EXIT_HELD
 
 
-def run_told(script: Script, folder: Path, plant: str, as_json: bool) -> int:
-    verdict, trial = run(script, folder, plant)
-    status = status_of(verdict)
+def run_and_report(script: Script, folder: Path, defect: str, as_json: bool) -> int:
+    """Run a trial, print its verdict and return the exit status."""
+    verdict, trial = run(script, folder, defect)
+    status = exit_status(verdict)
     if as_json:
-        value = {
+        report = {
             "plan": script.plan.name,
             "seed": script.seed,
             "status": status,
             "slow": verdict.too_slow,
             "skipped": verdict.skipped,
             "figures": verdict.figures,
-            "breaks": [vars(one) for one in verdict.violations],
+            "breaks": [vars(violation) for violation in verdict.violations],
         }
-        print(json.dumps(value))
+        print(json.dumps(report))
     else:
-        word = {HELD: "held", BROKEN: "BROKEN", UNSAID: "cannot say"}[status]
-        print(f"{script.plan.name} seed {script.seed}: {word}\n{error_body(verdict, trial)}")
+        result = RESULT_OF_STATUS[status]
+        print(f"{script.plan.name} seed {script.seed}: {result}\n{verdict_text(verdict, trial)}")
     return status
 
 
-def shrink(script: Script, folder: Path, plant: str) -> int:
-    """Drop faults, halves of them first, for as long as the same check still breaks."""
-    verdict, _ = run(script, folder / "first", plant)
-    if status_of(verdict) != BROKEN:
+def shrink(script: Script, folder: Path, defect: str) -> int:
+    """Remove faults, in ever smaller runs of them, for as long as the same check is still violated."""
+    verdict, _ = run(script, folder / "first", defect)
+    if exit_status(verdict) != EXIT_VIOLATED:
         print("the script does not break as it stands")
-        return status_of(verdict)
-    check, faults, tries = verdict.violations[0].check, list(script.faults), 0
-    size = max(1, len(faults) // 2)
-    while size and tries < MOST_SHRINKS:
-        at = 0
-        while at < len(faults) and tries < MOST_SHRINKS:
-            fewer = msgspec.structs.replace(script, faults=faults[:at] + faults[at + size :])
-            tries += 1
-            verdict, _ = run(fewer, folder / f"try-{tries}", plant)
-            if any(one.check == check for one in verdict.violations) and not verdict.too_slow:
-                faults = list(fewer.faults)
-                (folder / "shrunk.json").write_bytes(msgspec.json.encode(fewer))
+        return exit_status(verdict)
+    check = verdict.violations[0].check
+    faults = list(script.faults)
+    trial_count = 0
+    run_length = max(1, len(faults) // 2)
+    while run_length and trial_count < MAX_SHRINK_TRIALS:
+        index = 0
+        while index < len(faults) and trial_count < MAX_SHRINK_TRIALS:
+            candidate = msgspec.structs.replace(script, faults=faults[:index] + faults[index + run_length :])
+            trial_count += 1
+            verdict, _ = run(candidate, folder / f"try-{trial_count}", defect)
+            is_violated = any(violation.check == check for violation in verdict.violations)
+            if is_violated and not verdict.too_slow:
+                faults = list(candidate.faults)
+                (folder / "shrunk.json").write_bytes(msgspec.json.encode(candidate))
             else:
-                at += size
-        size //= 2
-    print(f"{check} breaks with {len(faults)} of {len(script.faults)} faults, after {tries} trials:")
+                index += run_length
+        run_length //= 2
+    print(f"{check} breaks with {len(faults)} of {len(script.faults)} faults, after {trial_count} trials:")
     for fault in faults:
         print("  ", msgspec.json.encode(fault).decode())
-    return BROKEN
+    return EXIT_VIOLATED
 
 
-def parse() -> argparse.Namespace:
+def parse_arguments() -> argparse.Namespace:
+    """Parse the command line."""
     parser = argparse.ArgumentParser(prog="orchidhatch.trial", description=__doc__.partition("\n")[0])
-    calls = parser.add_subparsers(dest="call", required=True)
-    calls.add_parser("list", help="the plans that stand in the project")
-    for name, about in (
+    commands = parser.add_subparsers(dest="call", required=True)
+    commands.add_parser("list", help="the plans that stand in the project")
+    for name, help_text in (
         ("run", "a plan with a seed"),
         ("again", "a recorded script"),
         ("shrink", "a recorded script, with as few faults as still break"),
     ):
-        one = calls.add_parser(name, help=about)
-        one.add_argument("file", help="a plan's name or file" if name == "run" else "a script.json")
+        command = commands.add_parser(name, help=help_text)
+        command.add_argument("file", help="a plan's name or file" if name == "run" else "a script.json")
         if name == "run":
-            one.add_argument("--seed", type=int, required=True)
-        one.add_argument(
+            command.add_argument("--seed", type=int, required=True)
+        command.add_argument(
             "--plant", choices=sorted(SEEDED_DEFECTS), default="", help="put a defect into the program"
         )
-        one.add_argument("--json", action="store_true")
-        one.add_argument("--keep", type=Path, help="an empty or new folder for events and logs")
+        command.add_argument("--json", action="store_true")
+        command.add_argument("--keep", type=Path, help="an empty or new folder for events and logs")
     return parser.parse_args()
 
 
 def list_plans() -> int:
+    """Print the plans of the project, one a line."""
     for path in sorted(PLANS.glob("*.toml")):
         plan = read_plan(path)
         print(f"{plan.name:24} {plan.seconds:4g} s  {len(plan.processes()):2} processes  {plan.what}")
-    return HELD
+    return EXIT_HELD
 
 
 def main() -> int:
-    options = parse()
+    """Run the command and return its exit status."""
+    options = parse_arguments()
     try:
         if options.call == "list":
             return list_plans()
@@ -169,17 +190,17 @@
             raise PlanError(f"{folder} is not empty")
     except PlanError as error:
         print(f"orchidhatch.trial: {error}", file=sys.stderr)
-        return WRONG
+        return EXIT_USAGE
     try:
         if options.call == "shrink":
             return shrink(script, folder, options.plant)
-        return run_told(script, folder, options.plant, options.json)
+        return run_and_report(script, folder, options.plant, options.json)
     except (TrialError, OSError) as error:
         print(f"orchidhatch.trial: {error}", file=sys.stderr)
-        return UNSAID
+        return EXIT_INCONCLUSIVE
     except asyncio.CancelledError:
         print("orchidhatch.trial: interrupted", file=sys.stderr)
-        return UNSAID
+        return EXIT_INCONCLUSIVE
     finally:
         if not options.keep:
             shutil.rmtree(folder, ignore_errors=True)
--- a/orchidhatch/faults/processes.py
+++ b/orchidhatch/faults/processes.py
@@ -1,4 +1,4 @@
-"""The processes of a trial: started, waited for, signalled, and never left behind."""
+"""Starts, awaits, signals and ends the processes of a trial."""
 
 import asyncio
 import contextlib
@@ -15,20 +15,25 @@
 
 ROOT = Path(__file__).parents[2]
 LAUNCH = [sys.executable, "-I", "-S", str(Path(__file__).with_name("launch.py"))]
-READY_S, LOOK_S = 30.0, 0.02  # the longest wait for readiness; between two looks
-LAST_LINES = 5
+READY_S = 30.0
+"""Timeout of readiness, and of a graceful end."""
+LOOK_S = 0.02
+"""Between two polls of readiness."""
+MAX_LOG_LINES_IN_ERROR = 5
 
 
 class TrialError(Exception):
-    """The trial could not be carried out; the text is one plain line."""
+    """The trial could not be carried out; the message is a single line."""
 
 
 @dataclass
 class Process:
-    """One process by its name in the plan, over all its starts.
+    """A process of the plan, over all its starts.
 
-    It is signalled through a descriptor of itself, as its number may be another's by then. `ready` says
-    whether it serves by now. `due` is whether it is meant to run: an end that was not meant is a break.
+    It is signalled through a pidfd, as its process id may have been reused. `ready` checks whether it serves.
+    `prepare` is called before each start. `reached` is called with whether connections to it are accepted.
+    `ends` says that it may exit by itself, with status 0. `due` says that it is meant to run: any other exit
+    meanwhile is a violation.
     """
 
     name: str
@@ -37,16 +42,16 @@
     recorder: Recorder
     ready: Callable[[], Awaitable[bool]]
     env: Mapping[str, str] = field(default_factory=dict)
-    prepare: Callable[[], None] = lambda: None  # before each start
-    reached: Callable[[bool], None] = lambda _: None  # told whether connections to it are taken
-    ends: bool = False  # whether it may end by itself, with 0
+    prepare: Callable[[], None] = lambda: None
+    reached: Callable[[bool], None] = lambda _: None
+    ends: bool = False
     due: bool = False
     child: subprocess.Popen[bytes] | None = None
     descriptor: int = -1
     ended: asyncio.Event = field(default_factory=asyncio.Event)
 
     def start(self) -> None:
-        """Start it; on return it runs, and need not be ready."""
+        """Start the process, without waiting until it is ready."""
         self.folder.mkdir(exist_ok=True)
         self.prepare()
         with (self.folder / "log").open("ab") as log:
@@ -58,34 +63,37 @@
                 stdout=log,
                 stderr=log,
             )
-        self.descriptor = os.pidfd_open(self.child.pid)  # not reaped before: the number is still its own
+        self.descriptor = os.pidfd_open(self.child.pid)  # its id is not reused before it is reaped
         (self.folder / "pid").write_text(str(self.child.pid))
         self.due = True
         self.ended.clear()
-        asyncio.get_running_loop().add_reader(self.descriptor, self.has_ended)
+        asyncio.get_running_loop().add_reader(self.descriptor, self._record_exit)
         self.recorder.note("start", self.name, pid=self.child.pid)
 
     def runs(self) -> bool:
+        """Whether the process is running, stopped by a signal or not."""
         return self.descriptor >= 0
 
-    def has_ended(self) -> None:
+    def _record_exit(self) -> None:
+        """Reap the process and record its exit status; called when its pidfd turns readable."""
         asyncio.get_running_loop().remove_reader(self.descriptor)
         os.close(self.descriptor)
         self.descriptor = -1
         code = self.child.wait()
-        self.recorder.note("exit", self.name, code=code, meant=not self.due or (self.ends and not code))
+        is_finished = self.ends and not code
+        self.recorder.note("exit", self.name, code=code, meant=not self.due or is_finished)
         self.reached(False)
         self.ended.set()
 
     def send(self, number: int) -> None:
-        """Nothing where it has ended."""
+        """Send a signal to the process, unless it has ended."""
         if self.runs():
             with contextlib.suppress(ProcessLookupError):
                 signal.pidfd_send_signal(self.descriptor, number)
                 self.recorder.note("signal", self.name, number=int(number))
 
     async def end(self, number: int = signal.SIGKILL) -> None:
-        """End it and wait until it is gone. One that does not heed the signal within its time is killed."""
+        """Signal the process and wait for its exit; kill it if it outlasts the timeout."""
         if not self.runs():
             return
         self.due = False
@@ -100,14 +108,19 @@
         await self.ended.wait()
 
     def bound_files(self, size: int | None) -> None:
-        """No file of it may grow past `size` bytes; None lifts that. As the child is not reaped yet, its
-        number is its own."""
-        if self.runs():
-            hard = resource.prlimit(self.child.pid, resource.RLIMIT_FSIZE)[1]
-            resource.prlimit(self.child.pid, resource.RLIMIT_FSIZE, (hard if size is None else size, hard))
+        """Limit the size of each file that the process writes to `size` bytes; None lifts the limit."""
+        if not self.runs():
+            return
+        pid = self.child.pid  # cannot have been reused, as the child is not reaped yet
+        hard_limit = resource.prlimit(pid, resource.RLIMIT_FSIZE)[1]
+        soft_limit = hard_limit if size is None else size
+        resource.prlimit(pid, resource.RLIMIT_FSIZE, (soft_limit, hard_limit))
 
     async def wait_ready(self) -> None:
-        """Until it answers. One that ends before is told with its last lines."""
+        """Wait until the process is ready.
+
+        Raises TrialError, with the last lines of its log, if it ends before that or the timeout passes.
+        """
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(READY_S):
                 while self.runs():
@@ -116,17 +129,19 @@
                         self.recorder.note("ready", self.name)
                         return
                     await asyncio.sleep(LOOK_S)
-        said = (self.folder / "log").read_text(errors="replace").splitlines()[-LAST_LINES:]
-        raise TrialError(f"{self.name} {'is not ready' if self.runs() else 'ended'}: {' / '.join(said)}")
+        state = "is not ready" if self.runs() else "ended"
+        log_lines = (self.folder / "log").read_text(errors="replace").splitlines()
+        raise TrialError(f"{self.name} {state}: {' / '.join(log_lines[-MAX_LOG_LINES_IN_ERROR:])}")
 
 
 class Processes:
-    """All of a trial's, by name."""
+    """The processes of a trial, by name."""
 
     def __init__(self) -> None:
         self.all: dict[str, Process] = {}
 
     def add(self, process: Process) -> Process:
+        """Add a process, in place of an earlier process of that name."""
         self.all[process.name] = process
         return process
 
@@ -134,15 +149,20 @@
         return self.all[name]
 
     async def start(self, *names: str) -> None:
-        """Start them together, and wait until all are ready."""
+        """Start these processes together, and wait until all are ready."""
         for name in names:
             self.all[name].start()
         await asyncio.gather(*[self.all[name].wait_ready() for name in names])
 
     async def close(self) -> None:
-        """Doors are asked to, so that they answer what they hold; stopped ones are woken. All are killed."""
+        """End all processes.
+
+        Those stopped by a signal are continued first. Gateways are terminated, so that they reply to their
+        in-flight requests; all others are killed.
+        """
         for process in self.all.values():
             process.due = False
             process.send(signal.SIGCONT)
-        await asyncio.gather(*[p.end(signal.SIGTERM) for n, p in self.all.items() if n.startswith("door-")])
+        gateways = [process for name, process in self.all.items() if name.startswith("door-")]
+        await asyncio.gather(*[gateway.end(signal.SIGTERM) for gateway in gateways])
         await asyncio.gather(*[process.end() for process in self.all.values()])
--- a/orchidhatch/faults/seeded_defects.py
+++ b/orchidhatch/faults/seeded_defects.py
@@ -1,6 +1,6 @@
-"""Seeded defects: the real program with one function made wrong, to show that a checker finds it.
+"""Seeded defects: each replaces a function of the program by a faulty one, to show that a check detects it.
 
-Each is put into the processes that its pattern names, by `orchidhatch.faults.stepped`.
+`orchidhatch.faults.stepped` applies a defect in the processes that the defect's pattern matches.
 """
 
 import asyncio
@@ -9,144 +9,165 @@
 
 
 class SeededDefect(NamedTuple):
-    """A defect: the pattern of the processes that it is put into, the check that is to find it, and how."""
+    """A defect of the program.
+
+    `processes` is the pattern of the processes that it is applied in, `check` the check that is expected to
+    detect it; `apply` patches the program's modules in the current process.
+    """
 
     processes: str
     check: str
     apply: Callable[[], None]
 
 
-def ignore_drains() -> None:
+def ignore_draining_state() -> None:
+    """A gateway takes draining backends for backends in service."""
     from orchidhatch.gateway.endpoints import EndpointState
     from orchidhatch.proxy import endpoint_list_reader
 
     endpoint_list_reader.STATES["DRAINING"] = EndpointState.UP
 
 
-def answer_twice() -> None:
+def duplicate_replies() -> None:
+    """A gateway sends every twentieth reply twice."""
     from orchidhatch.proxy.reply import Reply
 
-    send, count = Reply.send, 0
+    send = Reply.send
+    reply_count = 0
 
-    def twice(self: Reply, data: bytes) -> None:
-        nonlocal count
-        count += 1
-        send(self, data + data if count % 20 == 0 else data)
+    def send_with_duplicates(self: Reply, data: bytes) -> None:
+        nonlocal reply_count
+        reply_count += 1
+        send(self, data + data if reply_count % 20 == 0 else data)
 
-    Reply.send = twice
+    Reply.send = send_with_duplicates
 
 
-def overlap_attempts() -> None:
+def duplicate_attempts() -> None:
+    """A gateway sends each attempt twice at once."""
     from orchidhatch.proxy.attempt import Attempt
     from orchidhatch.proxy.backends import Backends
 
     send = Backends.send
 
-    def both(self: Backends, attempt: Attempt, timeout_us: int, start_within_us: int = 0) -> None:
+    def send_duplicated(self: Backends, attempt: Attempt, timeout_us: int, start_within_us: int = 0) -> None:
         send(self, attempt, timeout_us, start_within_us)
-        copy = Attempt(attempt.request_id, attempt.number, attempt.server, attempt.encode, lambda *_: None)
-        send(self, copy, timeout_us)
+        duplicate = Attempt(
+            attempt.request_id, attempt.number, attempt.server, attempt.encode, lambda *_: None
+        )
+        send(self, duplicate, timeout_us)
 
-    Backends.send = both
+    Backends.send = send_duplicated
 
 
-def count_caps_alone() -> None:
+def enforce_caps_per_gateway() -> None:
+    """Each gateway grants the whole quota of a customer, as if it were alone in the customer's set."""
     from orchidhatch.gateway.quota import Customer
 
     init = Customer.__init__
 
-    def alone(self: Customer, plan: Any, key: Any, set_: Any, now: int) -> None:  # noqa: ANN401
+    def init_alone(self: Customer, plan: Any, key: Any, set_: Any, now: int) -> None:  # noqa: ANN401
         init(self, plan, key._replace(set_first=set_.gateway_index, set_size=1), set_, now)
         self.key = key
 
-    Customer.__init__ = alone
+    Customer.__init__ = init_alone
 
 
-def acknowledge_early() -> None:
+def acknowledge_before_commit() -> None:
+    """A registry acknowledges writes 0.2 s before it makes them durable."""
     from orchidhatch.control.registry.write_pipeline import WritePipeline
 
     write_batch = WritePipeline.write_batch
 
-    async def early(self: WritePipeline, wanted: Any) -> None:  # noqa: ANN401
-        batch = self._store.plan([queued.write for queued in wanted])
-        for queued, outcome in zip(wanted, batch.outcomes, strict=True):
+    async def acknowledge_then_write(self: WritePipeline, queued_writes: Any) -> None:  # noqa: ANN401
+        batch = self._store.plan([queued.write for queued in queued_writes])
+        for queued, outcome in zip(queued_writes, batch.outcomes, strict=True):
             queued.acknowledge(outcome)
         await asyncio.sleep(0.2)
-        await write_batch(self, wanted)
+        await write_batch(self, queued_writes)
 
-    WritePipeline.write_batch = early
+    WritePipeline.write_batch = acknowledge_then_write
 
 
-def go_back() -> None:
+def discard_cache() -> None:
+    """An agent starts from an empty cache, so that its generations restart."""
     from orchidhatch.control.agent import command
     from orchidhatch.control.registry.store import Store
 
-    def anew(path: Any) -> Store:  # noqa: ANN401
+    def open_empty_cache(path: Any) -> Store:  # noqa: ANN401
         path.unlink(missing_ok=True)
         return Store(path, create=True, first=0)
 
-    command.open_cache = anew
+    command.open_cache = open_empty_cache
 
 
-def look_never() -> None:
+def skip_peer_term_check() -> None:
+    """A registry takes its term for current without a check of its peers' terms."""
     from orchidhatch.control.registry.peer_terms import PeerTermGuard
 
     PeerTermGuard.is_current = lambda self: True
 
 
-def count_anew() -> None:
+def restart_epochs() -> None:
+    """A registry restarts the count of claim epochs whenever it loads its claims."""
     from orchidhatch.control.registry.store import Store
 
     load_claims = Store.load_claims
 
-    def load(self: Store) -> None:
+    def load_claims_without_last_change(self: Store) -> None:
         load_claims(self)
         self.claims_table.last_change = 0
 
-    Store.load_claims = load
+    Store.load_claims = load_claims_without_last_change
 
 
-def trust_clocks() -> None:
+def ignore_fences() -> None:
+    """Neither registries nor agents check fencing tokens; owners rely on their clocks alone."""
     from orchidhatch.control.agent.gateway_calls import GatewayCalls
     from orchidhatch.control.ownership.claims import ClaimsTransaction
 
     ClaimsTransaction.check = lambda self, fence: None
     execute = GatewayCalls.execute
 
-    async def unchecked(self: GatewayCalls, fenced_call: Any) -> Any:  # noqa: ANN401
+    async def execute_unfenced(self: GatewayCalls, fenced_call: Any) -> Any:  # noqa: ANN401
         self.fences.epochs.clear()
         self.fences.call_numbers.clear()
         return await execute(self, fenced_call)
 
-    GatewayCalls.execute = unchecked
+    GatewayCalls.execute = execute_unfenced
 
 
-def decide_unready() -> None:
+def ignore_gateway_readiness() -> None:
+    """A policy change is decided without regard to gateways that are not ready."""
     from orchidhatch.control.policy.change import PolicyChange
 
     PolicyChange.unready_gateways = lambda self, fleet: []
 
 
-def return_as_it_was() -> None:
+def permit_previous_policy() -> None:
+    """An agent lets a gateway that is out of service resume under the policy that it had."""
     from orchidhatch.control.agent.gateway_steering import GatewaySteering
 
     permitted_digest = GatewaySteering.permitted_digest
 
-    def as_it_was(self: GatewaySteering) -> str | None:
+    def previous_digest(self: GatewaySteering) -> str | None:
         state = self.gateway.state
-        return state.digest if state.policy and not state.serves else permitted_digest(self)
+        if state.policy and not state.serves:
+            return state.digest
+        return permitted_digest(self)
 
-    GatewaySteering.permitted_digest = as_it_was
+    GatewaySteering.permitted_digest = previous_digest
 
 
-def lease_for_ever() -> None:
+def never_expire_lease() -> None:
+    """An agent's policy lease practically never expires; it is renewed as often as before."""
     from orchidhatch.control.agent import policy_lease
 
-    policy_lease.LEASE_S = 1e6  # the lease only: it is renewed as often as before
+    policy_lease.LEASE_S = 1e6
 
 
-def decide_late() -> None:
-    """Neither the claim nor what was read before holds a decision back."""
+def write_decision_unconditionally() -> None:
+    """A registry accepts a policy decision despite a stale claim or a changed record."""
     from orchidhatch.control.ownership.claims import ClaimsTransaction
     from orchidhatch.control.ownership.writes import PutRecord
     from orchidhatch.control.policy.policy_records import DECISION_RECORD
@@ -154,14 +175,19 @@
     ClaimsTransaction.check = lambda self, fence: None
     put_record = ClaimsTransaction.put_record
 
-    def unconditional(self: ClaimsTransaction, write: PutRecord) -> Any:  # noqa: ANN401
-        return put_record(self, PutRecord(write.name, write.text) if write.name == DECISION_RECORD else write)
+    def put_unconditionally(self: ClaimsTransaction, write: PutRecord) -> Any:  # noqa: ANN401
+        if write.name == DECISION_RECORD:
+            return put_record(self, PutRecord(write.name, write.text))
+        return put_record(self, write)
+
+    ClaimsTransaction.put_record = put_unconditionally
 
-    ClaimsTransaction.put_record = unconditional
 
+def ignore_policy_reloads() -> None:
+    """A gateway ignores every policy after its first.
 
-def hear_nothing() -> None:
-    """Nothing after the first, as a door that is under no policy at all is not kept."""
+    The first is applied, as a gateway without any policy would not enter service at all.
+    """
     from orchidhatch.proxy.configuration_reload import ConfigurationReloader
 
     switch_policy = ConfigurationReloader.switch_policy
@@ -170,15 +196,15 @@
     )
 
 
-def tell_stale_deadlines() -> None:
-    """The time left is reckoned when an attempt is begun, not when it is written."""
+def send_stale_deadlines() -> None:
+    """An attempt's remaining time is computed at its start, not when it is written, and 400 ms too long."""
     from orchidhatch.proxy.attempt import Attempt
 
     Attempt.payload = lambda self, now: self.encode(max(1, self.deadline_us - self.sent_us) + 400_000)
 
 
-def serve_departed() -> None:
-    """A client's end is not noticed."""
+def ignore_client_disconnects() -> None:
+    """A gateway does not notice that a client closed its connection."""
     from orchidhatch.proxy.client_connection import ClientConnection
 
     ClientConnection.eof_received = lambda self: True
@@ -186,30 +212,30 @@
     ClientConnection.leave = lambda self: None
 
 
-def repeat_everything() -> None:
-    """The decision core takes every class for safe to repeat; the guard does not."""
+def retry_all_classes() -> None:
+    """The decision core takes every class of request for idempotent; the proxy's guard does not."""
     from orchidhatch.gateway.candidates import CandidateFilter
 
     CandidateFilter.is_in_scope = lambda self, request, server: True
 
 
-def repeat_unguarded() -> None:
-    """The same without the guard."""
+def retry_all_classes_unguarded() -> None:
+    """The decision core takes every class of request for idempotent, and the proxy's guard is off."""
     from orchidhatch.proxy.request_lifecycle import RequestLifecycle
 
-    repeat_everything()
+    retry_all_classes()
     RequestLifecycle._repeat_refusal = lambda self, exchange: None
 
 
-def wait_for_odd_clients() -> None:
-    """Who sends no whole command is never ended."""
+def never_time_out_commands() -> None:
+    """A gateway never closes the connection of a client whose command stays incomplete."""
     from orchidhatch.proxy.client_connection import ClientConnection
 
     ClientConnection.is_command_overdue = lambda self, now_s: False
 
 
-def start_at_full_speed() -> None:
-    """New backends are sent as much as the emptiest of all would be."""
+def skip_slow_start() -> None:
+    """A gateway prefers backends that are warming up, as if they had no load at all."""
     from orchidhatch.gateway.candidates import CandidateFilter
     from orchidhatch.gateway.expected_cost import ExpectedCost
     from orchidhatch.gateway.slow_start import SlowStart
@@ -220,24 +246,24 @@
 
 
 SEEDED_DEFECTS = {
-    "stale-deadline": SeededDefect("door-*", "deadlines", tell_stale_deadlines),
-    "serves-departed": SeededDefect("door-*", "departed", serve_departed),
-    "repeats": SeededDefect("door-*", "guards", repeat_everything),
-    "repeats-unguarded": SeededDefect("door-*", "repeats", repeat_unguarded),
-    "waits-for-odd": SeededDefect("door-*", "odd", wait_for_odd_clients),
-    "full-speed": SeededDefect("door-*", "slow-start", start_at_full_speed),
-    "unready": SeededDefect("steward-*", "promises", decide_unready),
-    "returns-old": SeededDefect("agent-*", "policies", return_as_it_was),
-    "endless-lease": SeededDefect("agent-*", "policies", lease_for_ever),
-    "late-decision": SeededDefect("registry-*", "promises", decide_late),
-    "deaf-door": SeededDefect("door-1", "promises", hear_nothing),
-    "epoch-anew": SeededDefect("registry-*", "owners", count_anew),
-    "trusts-clock": SeededDefect("[ar]*-*", "effects", trust_clocks),
-    "ignores-drain": SeededDefect("door-*", "drains", ignore_drains),
-    "two-answers": SeededDefect("door-*", "answers", answer_twice),
-    "overlap": SeededDefect("door-*", "attempts", overlap_attempts),
-    "cap-per-door": SeededDefect("door-*", "caps", count_caps_alone),
-    "early-ack": SeededDefect("registry-*", "writes", acknowledge_early),
-    "goes-back": SeededDefect("agent-*", "generations", go_back),
-    "never-looks": SeededDefect("registry-*", "writes", look_never),
+    "stale-deadline": SeededDefect("door-*", "deadlines", send_stale_deadlines),
+    "serves-departed": SeededDefect("door-*", "departed", ignore_client_disconnects),
+    "repeats": SeededDefect("door-*", "guards", retry_all_classes),
+    "repeats-unguarded": SeededDefect("door-*", "repeats", retry_all_classes_unguarded),
+    "waits-for-odd": SeededDefect("door-*", "odd", never_time_out_commands),
+    "full-speed": SeededDefect("door-*", "slow-start", skip_slow_start),
+    "unready": SeededDefect("steward-*", "promises", ignore_gateway_readiness),
+    "returns-old": SeededDefect("agent-*", "policies", permit_previous_policy),
+    "endless-lease": SeededDefect("agent-*", "policies", never_expire_lease),
+    "late-decision": SeededDefect("registry-*", "promises", write_decision_unconditionally),
+    "deaf-door": SeededDefect("door-1", "promises", ignore_policy_reloads),
+    "epoch-anew": SeededDefect("registry-*", "owners", restart_epochs),
+    "trusts-clock": SeededDefect("[ar]*-*", "effects", ignore_fences),
+    "ignores-drain": SeededDefect("door-*", "drains", ignore_draining_state),
+    "two-answers": SeededDefect("door-*", "answers", duplicate_replies),
+    "overlap": SeededDefect("door-*", "attempts", duplicate_attempts),
+    "cap-per-door": SeededDefect("door-*", "caps", enforce_caps_per_gateway),
+    "early-ack": SeededDefect("registry-*", "writes", acknowledge_before_commit),
+    "goes-back": SeededDefect("agent-*", "generations", discard_cache),
+    "never-looks": SeededDefect("registry-*", "writes", skip_peer_term_check),
 }
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -23,12 +23,10 @@
         "proxy/main.py",
         "proxy/start_times.py",
         "faults/backend.py",
-        "faults/cli.py",
         "faults/launch.py",
         "faults/load.py",
         "faults/odd_clients.py",
         "faults/plan.py",
-        "faults/processes.py",
         "faults/stepped.py",
         "faults/system_calls.py",
     )
