--- a/orchidhatch/faults/launch.py
+++ b/orchidhatch/faults/launch.py
@@ -1,6 +1,6 @@
-"""Becomes another program that ends with its parent: python launch.py PARENT PROGRAM [ARGUMENT ...]
+"""Executes a program that is killed when its parent ends: python launch.py PARENT PROGRAM [ARGUMENT ...]
 
-Standard library only, and no import of the project: it is started for each process of a trial.
+Imports the standard library only, to start quickly: it runs before each process of a trial.
 """
 
 import ctypes
@@ -12,10 +12,12 @@
 
 
 def main() -> None:
-    parent, program = int(sys.argv[1]), sys.argv[2:]
+    """Set the parent-death signal, then execute the program in this process."""
+    parent_pid = int(sys.argv[1])
+    program = sys.argv[2:]
     if ctypes.CDLL(None, use_errno=True).prctl(PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0):
         sys.exit(f"launch: {os.strerror(ctypes.get_errno())}")
-    if os.getppid() != parent:  # it ended before the kernel was asked
+    if os.getppid() != parent_pid:  # the parent ended before the signal was set
         sys.exit(1)
     os.execvp(program[0], program)
 
--- a/orchidhatch/faults/stepped.py
+++ b/orchidhatch/faults/stepped.py
@@ -2,9 +2,9 @@
 
     python -m orchidhatch.faults.stepped [--clock FILE] [--plant NAME] [--record FOLDER] MODULE [ARGUMENT ...]
 
-FILE holds by how many milliseconds the wall clock is off; it is read each time, so the clock steps when it
-is written. In FOLDER a registry's fenced writes are recorded, once they are durable. The program itself
-knows nothing of any of it.
+FILE holds the offset of the wall clock in milliseconds; it is read at each use of the clock, which steps as
+soon as FILE is written. A registry's fenced writes are recorded in FOLDER once they are durable. The program
+itself is unaware of all this.
 """
 
 import argparse
@@ -19,63 +19,72 @@
 from orchidhatch.faults.events import Recorder
 from orchidhatch.faults.seeded_defects import SEEDED_DEFECTS
 
+MAX_TEXT_LENGTH = 300
+
 
 def step_clock(file: Path) -> None:
-    true_ns, true_s = time.time_ns, time.time
+    """Offset this process's wall clock by the milliseconds in the file."""
+    true_time_ns = time.time_ns
+    true_time_s = time.time
 
-    def off_ms() -> int:
+    def offset_ms() -> int:
         try:
             return int(file.read_text())
-        except (OSError, ValueError):  # not there yet, or being written
+        except (OSError, ValueError):  # missing, or being written
             return 0
 
-    time.time_ns = lambda: true_ns() + off_ms() * 1_000_000
-    time.time = lambda: true_s() + off_ms() / 1000
+    time.time_ns = lambda: true_time_ns() + offset_ms() * 1_000_000
+    time.time = lambda: true_time_s() + offset_ms() / 1000
 
 
 def record_effects(name: str, folder: Path) -> None:
-    """Each write in a claim's name that was carried out, as its store shows it to readers."""
+    """Record each fenced write that a registry carried out, once its store shows the write to readers."""
     from orchidhatch.control.policy.fleet_status import encode_fleet_status
     from orchidhatch.control.policy.gateway_policy_leases import GatewayPolicyLeases
     from orchidhatch.control.policy.policy_records import DECISION_RECORD
     from orchidhatch.control.registry.store import Batch, Store
 
-    recorder, plan, publish = Recorder(name, folder), Store.plan, Store.publish
+    recorder = Recorder(name, folder)
+    plan = Store.plan
+    publish = Store.publish
     batch_written = GatewayPolicyLeases.batch_written
 
-    def planned(self: Store, writes: Sequence[Any]) -> Batch:
+    def plan_and_keep_writes(self: Store, writes: Sequence[Any]) -> Batch:
         batch = plan(self, writes)
         batch.writes = list(writes)
         return batch
 
-    def taken(self: Store, batch: Batch) -> None:
+    def publish_and_record(self: Store, batch: Batch) -> None:
         publish(self, batch)
         for write, outcome in zip(batch.writes, batch.outcomes, strict=True):
             fence = getattr(write, "fence", None)
             if fence and not isinstance(outcome, ConflictError):
-                act = type(write).__name__.lower()
-                about = getattr(write, "id", "") or getattr(write, "name", "")
+                action = type(write).__name__.lower()
+                target = getattr(write, "id", "") or getattr(write, "name", "")
                 recorder.note(
                     "effect",
                     name,
                     claim=fence.claim,
                     epoch=fence.epoch,
-                    act=act,
-                    on=about,
+                    act=action,
+                    on=target,
                     term=self.term,
-                    text=getattr(write, "text", "")[:300],
+                    text=getattr(write, "text", "")[:MAX_TEXT_LENGTH],
                 )
 
-    def decided(self: GatewayPolicyLeases, writes: Sequence[Any], outcomes: Sequence[Any]) -> None:
+    def record_decision(self: GatewayPolicyLeases, writes: Sequence[Any], outcomes: Sequence[Any]) -> None:
         batch_written(self, writes, outcomes)
         if any(getattr(outcome, "name", "") == DECISION_RECORD for outcome in outcomes):
             status = encode_fleet_status(self.fleet_status())
             recorder.note("decided", status["now"]["digest"] or "-", now=status["now"], doors=status["doors"])
 
-    Store.plan, Store.publish, GatewayPolicyLeases.batch_written = planned, taken, decided
+    Store.plan = plan_and_keep_writes
+    Store.publish = publish_and_record
+    GatewayPolicyLeases.batch_written = record_decision
 
 
 def main() -> None:
+    """Apply what the options ask for, then run the module."""
     parser = argparse.ArgumentParser(prog="orchidhatch.faults.stepped")
     parser.add_argument("--clock", type=Path)
     parser.add_argument("--plant", choices=sorted(SEEDED_DEFECTS))
@@ -91,7 +100,7 @@
     if options.record:
         record_effects(options.name, options.record)
     sys.argv = [options.module, *options.arguments]
-    # Not as `python -m` does it: that would run a second copy of the module, without the defect.
+    # Not by runpy, as `python -m` does: it would execute a second copy of the module, without the defect.
     sys.exit(importlib.import_module(options.module).main())
 
 
--- a/orchidhatch/faults/system_calls.py
+++ b/orchidhatch/faults/system_calls.py
@@ -1,4 +1,4 @@
-"""Failing system calls in single processes: the preloaded library of shim.c, and its control file."""
+"""Injects system call failures into single processes, through the library of shim.c and a control file."""
 
 import mmap
 import shutil
@@ -8,15 +8,16 @@
 from pathlib import Path
 
 SOURCE = Path(__file__).with_name("shim.c")
-CONTROL_SIZE = 4096
+CONTROL_FILE_BYTES = 4096
+SLOT_BYTES = 8
 CONTROL_VARIABLE = "ORCHIDHATCH_SHIM"
-COUNTS_AT = 16
-"""The slot from which on the library counts what it injected, in the order of the slots."""
+FIRST_COUNTER_SLOT = 16
+"""Slot of the first counter of injected failures; the counters are in the order of the slots."""
 COMPILERS = ("cc", "gcc", "clang")
 
 
 class Slot(IntEnum):
-    """The integers of the control file, in the order of shim.c; shares are in thousandths of the calls."""
+    """The integers of the control file, in the order of shim.c; shares are per mille of the calls."""
 
     WALL_STEP_MS = 0
     ACCEPT = 1
@@ -31,9 +32,9 @@
 
 
 def build_shim(folder: Path) -> Path | None:
-    """Compile the library into the folder; None where this machine has no C compiler.
+    """Compile the library into the folder; return None if there is no C compiler.
 
-    Raises subprocess.CalledProcessError where the source does not compile.
+    Raises subprocess.CalledProcessError if the source does not compile.
     """
     compiler = next(filter(None, map(shutil.which, COMPILERS)), None)
     if compiler is None:
@@ -48,23 +49,23 @@
 
 
 class ShimControl:
-    """The control file of one process, mapped here as in the process."""
+    """The control file of a process, mapped into memory here as in that process."""
 
     def __init__(self, path: Path, seed: int) -> None:
         self.path = path
-        path.write_bytes(bytes(CONTROL_SIZE))
+        path.write_bytes(bytes(CONTROL_FILE_BYTES))
         with path.open("r+b") as file:
-            self._memory = mmap.mmap(file.fileno(), CONTROL_SIZE)
+            self._memory = mmap.mmap(file.fileno(), CONTROL_FILE_BYTES)
         self.set(Slot.SEED, seed & 0x7FFFFFFF)
 
     def set(self, slot: Slot, value: int) -> None:
-        """Write one integer; the process goes by it from its next call on."""
-        struct.pack_into("<q", self._memory, 8 * slot, value)
+        """Write an integer; it takes effect at the process's next system call."""
+        struct.pack_into("<q", self._memory, SLOT_BYTES * slot, value)
 
     def injected(self, slot: Slot) -> int:
-        """How many calls of this kind were made to fail, or shortened."""
-        return struct.unpack_from("<q", self._memory, 8 * (COUNTS_AT + slot))[0]
+        """The number of calls of this kind that failed or were shortened by injection."""
+        return struct.unpack_from("<q", self._memory, SLOT_BYTES * (FIRST_COUNTER_SLOT + slot))[0]
 
     def environment(self, library: Path) -> dict[str, str]:
-        """The variables with which the process is started."""
+        """The environment variables that the process is started with."""
         return {"LD_PRELOAD": str(library), CONTROL_VARIABLE: str(self.path)}
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -23,12 +23,9 @@
         "proxy/main.py",
         "proxy/start_times.py",
         "faults/backend.py",
-        "faults/launch.py",
         "faults/load.py",
         "faults/odd_clients.py",
         "faults/plan.py",
-        "faults/stepped.py",
-        "faults/system_calls.py",
     )
 )
 # Parts of names that were withdrawn. Names that a wire or a file fixes stand in strings, not read here.
