--- a/orchidhatch/faults/backend.py
+++ b/orchidhatch/faults/backend.py
@@ -1,8 +1,8 @@
-"""A stand-in backend, by the protocol's page: cores, queue, thrash, cold start, handshakes, load reports.
+"""A stand-in backend with cores, a queue, thrashing, a cold start, handshakes and load reports.
 
     python -m orchidhatch.trial.backend SETTINGS.json
 
-It enters itself in the list, keeps its lease, and writes down each attempt from its last byte to its end.
+It registers itself, renews its lease, and records each attempt from its last byte to its end.
 """
 
 import asyncio
@@ -21,221 +21,260 @@
 from orchidhatch.faults.events import Recorder
 from orchidhatch.faults.plan import Backends
 
-MOST_PIPELINED = 100
-AGAIN_S = 0.3  # until it tries to enter the list again
-LONG_BYTES = 200_000  # over what the protocol allows; a gateway passes it on as it comes
-SPOILT = ("twice", "nonsense", "endless", "long", "cut", "late", "reset")
-RENEWALS = 3  # in the time of a lease
+MAX_PIPELINED_COMMANDS = 100
+REGISTRATION_RETRY_S = 0.3
+OVERSIZED_VALUE_BYTES = 200_000
+"""More than the protocol allows; a gateway forwards it as a stream."""
+RENEWALS_PER_LEASE = 3
+MAX_TEXT_LENGTH = 200
+LISTEN_BACKLOG = 512
+MALFORMATIONS = ("twice", "nonsense", "endless", "long", "cut", "late", "reset")
 
 
-def told_wait_ms(fields: bytes) -> int:
-    """How long the gateway says that it will wait, of a command's list of names and values."""
-    parts = dict(part.partition(b"=")[::2] for part in fields.split(b","))
-    return int(parts.get(b"d", b"0"))
+def payload_deadline_ms(payload: bytes) -> int:
+    """The remaining time that the gateway names in a command's list of fields; 0 if it names none."""
+    fields = dict(field.partition(b"=")[::2] for field in payload.split(b","))
+    return int(fields.get(b"d", b"0"))
 
 
 class Settings(msgspec.Struct, frozen=True):
+    """The settings file of a backend."""
+
     name: str
-    id: str  # in the list
+    id: str  # in the registry
     listen: Address
     registries: list[Address]
     zone: str
     model: Backends
     seed: int
-    folder: str  # where its events go
+    folder: str  # of its events
 
 
 class Attempt:
-    """A command that has come whole: its place in the queue, until its answer is written or nobody waits."""
+    """A complete command, from its receipt until its reply is ready or its connection is lost."""
 
-    __slots__ = ("conn", "id", "over")
+    __slots__ = ("connection", "id", "is_finished")
 
-    def __init__(self, conn: "Connection", id_: str) -> None:
-        self.conn, self.id, self.over = conn, id_, False
+    def __init__(self, connection: "Connection", id_: str) -> None:
+        self.connection = connection
+        self.id = id_
+        self.is_finished = False
 
 
 class Machine:
-    """What serves: `cores` at a time, slower while cold and while too much waits."""
+    """Serves `cores` requests at a time; slower during the cold start and while overloaded."""
 
     def __init__(self, settings: Settings, recorder: Recorder) -> None:
-        self.settings, self.model, self.recorder = settings, settings.model, recorder
-        self.chance = random.Random(f"{settings.seed} {settings.id}")
-        self.began_s = time.monotonic()
-        self.free_s = [self.began_s] * self.model.cores
-        self.inside: set[Attempt] = set()
-        self.spoil_file = Path(settings.folder) / f"{settings.name}.spoil"
+        self.settings = settings
+        self.model = settings.model
+        self.recorder = recorder
+        self.stream = random.Random(f"{settings.seed} {settings.id}")
+        self.started_s = time.monotonic()
+        self.core_free_times_s = [self.started_s] * self.model.cores
+        self.in_flight: set[Attempt] = set()
+        self.malformed_share_file = Path(settings.folder) / f"{settings.name}.spoil"
         self.connections: set[Connection] = set()
 
     def speed(self) -> float:
-        model, age = self.model, time.monotonic() - self.began_s
-        warm = min(1.0, model.cold_from + (1 - model.cold_from) * age / model.cold_s) if model.cold_s else 1.0
-        beyond = max(0.0, len(self.inside) / model.cores - model.thrash_at)
-        return warm / (1 + model.thrash * beyond)
-
-    def load(self) -> bytes:
-        busy = min(len(self.inside), self.model.cores)
-        return b"inflight=%d,queue=%d,util=%.2f" % (busy, len(self.inside) - busy, busy / self.model.cores)
-
-    def work(self, cost_s: float) -> float:
-        """A core is kept busy for that long from when one is free; the time at which it is done."""
-        done = max(time.monotonic(), heapq.heappop(self.free_s)) + cost_s / self.speed()
-        heapq.heappush(self.free_s, done)
-        return done
-
-    def take(self, conn: "Connection", words: list[bytes]) -> None:
-        kind = words[0].upper()
-        if kind in (b"CLIENT", b"SELECT"):
-            conn.answer(b"+OK\r\n")
-        elif kind == b"PING":
-            conn.answer(b"+PONG\r\n")
-        elif kind == b"INFO":
-            conn.answer(b"-NOPERM\r\n")
-        elif (kind == b"SVC.QUERY" and len(words) == 4) or (kind == b"SVC.SUBMIT" and len(words) == 5):
-            self.serve(conn, words)
+        """The speed of a core now; 1 when warm and not overloaded."""
+        model = self.model
+        age_s = time.monotonic() - self.started_s
+        warmth = 1.0
+        if model.cold_s:
+            warmth = min(1.0, model.cold_from + (1 - model.cold_from) * age_s / model.cold_s)
+        excess_per_core = max(0.0, len(self.in_flight) / model.cores - model.thrash_at)
+        return warmth / (1 + model.thrash * excess_per_core)
+
+    def load_report(self) -> bytes:
+        """The load report, as it stands in replies."""
+        busy = min(len(self.in_flight), self.model.cores)
+        queued = len(self.in_flight) - busy
+        return b"inflight=%d,queue=%d,util=%.2f" % (busy, queued, busy / self.model.cores)
+
+    def occupy_core(self, cost_s: float) -> float:
+        """Occupy the core that is free first; return the time at which the work is done."""
+        start_s = max(time.monotonic(), heapq.heappop(self.core_free_times_s))
+        done_s = start_s + cost_s / self.speed()
+        heapq.heappush(self.core_free_times_s, done_s)
+        return done_s
+
+    def handle_command(self, connection: "Connection", arguments: list[bytes]) -> None:
+        """Reply to a command, or start an attempt for it."""
+        name = arguments[0].upper()
+        is_query = name == b"SVC.QUERY" and len(arguments) == 4
+        is_submit = name == b"SVC.SUBMIT" and len(arguments) == 5
+        if name in (b"CLIENT", b"SELECT"):
+            connection.write(b"+OK\r\n")
+        elif name == b"PING":
+            connection.write(b"+PONG\r\n")
+        elif name == b"INFO":
+            connection.write(b"-NOPERM\r\n")
+        elif is_query or is_submit:
+            self.start_attempt(connection, arguments)
         else:
-            self.recorder.note("syntax", self.settings.id, words=repr(words)[:200])
-            conn.answer(b"-SYNTAX\r\n")
-
-    def serve(self, conn: "Connection", words: list[bytes]) -> None:
-        id_ = words[2].decode(errors="replace")
-        attempt = Attempt(conn, id_)
-        conn.attempts.append(attempt)
+            self.recorder.note("syntax", self.settings.id, words=repr(arguments)[:MAX_TEXT_LENGTH])
+            connection.write(b"-SYNTAX\r\n")
+
+    def start_attempt(self, connection: "Connection", arguments: list[bytes]) -> None:
+        """Queue an attempt, or reject it if the queue is full."""
+        id_ = arguments[2].decode(errors="replace")
+        attempt = Attempt(connection, id_)
+        connection.attempts.append(attempt)
         self.recorder.note(
             "attempt",
             id_,
             backend=self.settings.id,
-            port=conn.port,
-            customer=words[1].decode(errors="replace"),
-            told_ms=told_wait_ms(words[3]),
+            port=connection.port,
+            customer=arguments[1].decode(errors="replace"),
+            told_ms=payload_deadline_ms(arguments[3]),
         )
-        if len(self.inside) >= self.model.cores + self.model.queue:
-            self.finish(attempt, b"-BUSY %b\r\n" % (self.load() if self.model.reports else b""), "busy")
+        if len(self.in_flight) >= self.model.cores + self.model.queue:
+            report = self.load_report() if self.model.reports else b""
+            self.finish(attempt, b"-BUSY %b\r\n" % report, "busy")
             return
-        self.inside.add(attempt)
-        cost_s = self.model.work_ms / 1000 * self.chance.expovariate(1.0)
-        if conn.is_new:  # as a TLS handshake would
-            conn.is_new = False
+        self.in_flight.add(attempt)
+        cost_s = self.model.work_ms / 1000 * self.stream.expovariate(1.0)
+        if connection.is_new:  # the cost of a TLS handshake
+            connection.is_new = False
             cost_s += self.model.handshake_ms / 1000
-        wait_s = self.work(cost_s) - time.monotonic()
-        asyncio.get_running_loop().call_later(wait_s, self.served, attempt)
+        wait_s = self.occupy_core(cost_s) - time.monotonic()
+        asyncio.get_running_loop().call_later(wait_s, self.complete, attempt)
 
-    def served(self, attempt: Attempt) -> None:
-        self.inside.discard(attempt)
+    def complete(self, attempt: Attempt) -> None:
+        """Reply to an attempt whose work is done; some of the replies are malformed while the trial asks."""
+        self.in_flight.discard(attempt)
         value = f"{self.settings.id}:{attempt.id}".encode()
         report = b"$-1\r\n"
         if self.model.reports:
-            load = self.load()
+            load = self.load_report()
             report = b"$%d\r\n%b\r\n" % (len(load), load)
-        answer = b"*3\r\n$%d\r\n%b\r\n$-1\r\n%b" % (len(value), value, report)
-        if self.chance.random() < self.spoilt_share():
-            self.spoil(attempt, answer)
+        reply = b"*3\r\n$%d\r\n%b\r\n$-1\r\n%b" % (len(value), value, report)
+        if self.stream.random() < self.malformed_share():
+            self.send_malformed(attempt, reply)
         else:
-            self.finish(attempt, answer, "served")
+            self.finish(attempt, reply, "served")
 
-    def spoilt_share(self) -> float:
-        """The share of answers that are spoilt now, as the trial has written it."""
+    def malformed_share(self) -> float:
+        """The share of malformed replies, from the file that the trial writes."""
         try:
-            return float(self.spoil_file.read_text())
+            return float(self.malformed_share_file.read_text())
         except (OSError, ValueError):
             return 0.0
 
-    def spoil(self, attempt: Attempt, answer: bytes) -> None:
-        """Answer in one of the ways in which a faulty backend may."""
-        how = self.chance.choice(SPOILT)
-        self.recorder.note("spoilt", attempt.id, how=how)
+    def send_malformed(self, attempt: Attempt, reply: bytes) -> None:
+        """Send a reply with a random kind of fault."""
+        kind = self.stream.choice(MALFORMATIONS)
+        self.recorder.note("spoilt", attempt.id, how=kind)
         loop = asyncio.get_running_loop()
-        if how == "twice":
-            self.finish(attempt, answer, "served")
-            loop.call_later(self.chance.uniform(0.0, 0.04), attempt.conn.answer, answer)
-        elif how == "nonsense":
+        connection = attempt.connection
+        if kind == "twice":
+            self.finish(attempt, reply, "served")
+            loop.call_later(self.stream.uniform(0.0, 0.04), connection.write, reply)
+        elif kind == "nonsense":
             self.finish(attempt, b"!what\r\n", "spoilt")
-        elif how == "endless":
-            attempt.conn.answer(b"*3\r\n$60000\r\n" + b"x" * 100)
-        elif how == "long":
-            value = b"x" * LONG_BYTES + f":{attempt.id}".encode()
+        elif kind == "endless":
+            connection.write(b"*3\r\n$60000\r\n" + b"x" * 100)
+        elif kind == "long":
+            value = b"x" * OVERSIZED_VALUE_BYTES + f":{attempt.id}".encode()
             self.finish(attempt, b"*3\r\n$%d\r\n%b\r\n$-1\r\n$-1\r\n" % (len(value), value), "served")
-        elif how == "cut":
-            attempt.conn.answer(b"*3\r\n$%d\r\n" % LONG_BYTES + b"x" * 5000)
-            loop.call_later(0.03, attempt.conn.transport.abort)
-        elif how == "late":
-            loop.call_later(self.chance.uniform(0.5, 2.0), self.finish, attempt, answer, "served")
+        elif kind == "cut":
+            connection.write(b"*3\r\n$%d\r\n" % OVERSIZED_VALUE_BYTES + b"x" * 5000)
+            loop.call_later(0.03, connection.transport.abort)
+        elif kind == "late":
+            loop.call_later(self.stream.uniform(0.5, 2.0), self.finish, attempt, reply, "served")
         else:
-            attempt.conn.transport.abort()
+            connection.transport.abort()
 
-    def finish(self, attempt: Attempt, data: bytes, how: str) -> None:
-        if not attempt.over:
-            attempt.over = True
-            self.recorder.note("over", attempt.id, backend=self.settings.id, port=attempt.conn.port, how=how)
-            attempt.conn.answer_in_turn(attempt, data)
+    def finish(self, attempt: Attempt, reply: bytes, result: str) -> None:
+        """Record the end of an attempt and send its reply, unless the attempt has finished before."""
+        if attempt.is_finished:
+            return
+        attempt.is_finished = True
+        port = attempt.connection.port
+        self.recorder.note("over", attempt.id, backend=self.settings.id, port=port, how=result)
+        attempt.connection.write_in_order(attempt, reply)
 
 
 class Connection(asyncio.Protocol):
-    """A connection of a front door: answers leave in the order of its commands."""
+    """A connection of a gateway; replies are sent in the order of its commands."""
 
     def __init__(self, machine: Machine) -> None:
-        self.machine, self.parser = machine, hiredis.Reader()
+        self.machine = machine
+        self.parser = hiredis.Reader()
         self.attempts: list[Attempt] = []
-        self.answers: dict[Attempt, bytes] = {}
-        self.is_new, self.port, self.uses = True, 0, 0
+        self.ready_replies: dict[Attempt, bytes] = {}
+        self.is_new = True
+        self.port = 0
+        self.use_count = 0
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        self.transport, self.port = transport, transport.get_extra_info("peername")[1]
+        """Accept the connection, unless there are too many."""
+        self.transport = transport
+        self.port = transport.get_extra_info("peername")[1]
         if len(self.machine.connections) >= self.machine.model.connections:
             transport.abort()
         else:
             self.machine.connections.add(self)
-            self.rest()
-
-    def rest(self) -> None:
-        """Close the connection if it stays idle, without a word."""
-        if rests_s := self.machine.model.rests_s:
-            used = self.uses
-            wait_s = self.machine.chance.uniform(0.0, rests_s)
-            asyncio.get_running_loop().call_later(wait_s, self.close_if_idle, used)
-
-    def close_if_idle(self, used: int) -> None:
-        """Close it unless it was used since."""
-        if self.uses == used and not self.attempts and self.transport:
+            self.schedule_idle_close()
+
+    def schedule_idle_close(self) -> None:
+        """Schedule a close at a random time, for the case that the connection is idle until then."""
+        max_idle_s = self.machine.model.rests_s
+        if max_idle_s:
+            wait_s = self.machine.stream.uniform(0.0, max_idle_s)
+            asyncio.get_running_loop().call_later(wait_s, self.close_if_idle, self.use_count)
+
+    def close_if_idle(self, earlier_use_count: int) -> None:
+        """Close the connection unless it was used since."""
+        if self.use_count == earlier_use_count and not self.attempts and self.transport:
             self.transport.close()
 
     def data_received(self, data: bytes) -> None:
-        self.uses += 1
+        """Handle each complete command; abort the connection on anything else."""
+        self.use_count += 1
         self.parser.feed(data)
         try:
-            while (words := self.parser.gets()) is not False:
-                if len(self.attempts) >= MOST_PIPELINED or not isinstance(words, list) or not words:
+            while (arguments := self.parser.gets()) is not False:
+                is_command = isinstance(arguments, list) and arguments
+                if len(self.attempts) >= MAX_PIPELINED_COMMANDS or not is_command:
                     self.transport.abort()
                     return
-                self.machine.take(self, words)
+                self.machine.handle_command(self, arguments)
         except hiredis.ProtocolError:
-            self.machine.recorder.note("syntax", self.machine.settings.id, words=repr(data)[:200])
+            text = repr(data)[:MAX_TEXT_LENGTH]
+            self.machine.recorder.note("syntax", self.machine.settings.id, words=text)
             self.transport.abort()
 
-    def answer(self, data: bytes) -> None:
+    def write(self, data: bytes) -> None:
+        """Write to the gateway, unless the connection is closing."""
         if not self.transport.is_closing():
             self.transport.write(data)
 
-    def answer_in_turn(self, attempt: Attempt, data: bytes) -> None:
-        self.answers[attempt] = data
-        while self.attempts and (ready := self.answers.pop(self.attempts[0], None)) is not None:
-            del self.attempts[0]
-            self.answer(ready)
+    def write_in_order(self, attempt: Attempt, reply: bytes) -> None:
+        """Write the reply once the replies to all earlier commands are written."""
+        self.ready_replies[attempt] = reply
+        while self.attempts and self.attempts[0] in self.ready_replies:
+            first = self.attempts.pop(0)
+            self.write(self.ready_replies.pop(first))
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Whoever asked has gone: what is out of it is over, though the work is done all the same."""
+        """Record the end of the attempts in flight on the connection; their work is done nevertheless."""
         self.machine.connections.discard(self)
         for attempt in self.attempts:
-            if not attempt.over:
-                attempt.over = True
+            if not attempt.is_finished:
+                attempt.is_finished = True
                 self.machine.recorder.note(
                     "over", attempt.id, backend=self.machine.settings.id, port=self.port, how="left"
                 )
         self.attempts.clear()
 
 
-async def stay_listed(settings: Settings, recorder: Recorder) -> None:
-    """Enter the list, and renew the lease; anew where it is not known, at the next if one is silent."""
+async def maintain_registration(settings: Settings, recorder: Recorder) -> None:
+    """Register the backend and renew its lease.
+
+    Registers again if its incarnation is not current; goes on to the next registry after any other failure.
+    """
     started_ms = time.time_ns() // 1_000_000
     entry = {
         "instanceId": settings.id,
@@ -245,33 +284,39 @@
         "startedAtMs": started_ms,
         "leaseMs": settings.model.lease_ms,
     }
-    at, life = 0, 0
+    registry_index = 0
+    incarnation = 0
     while True:
-        registry = settings.registries[at % len(settings.registries)]
-        path, value = (f"/entries/{settings.id}/renew", {"life": life}) if life else ("/entries", entry)
-        result = await call(registry, "POST", path, value)
+        registry = settings.registries[registry_index % len(settings.registries)]
+        if incarnation:
+            result = await call(registry, "POST", f"/entries/{settings.id}/renew", {"life": incarnation})
+        else:
+            result = await call(registry, "POST", "/entries", entry)
         if result.ok:
-            if not life:
+            if not incarnation:
                 recorder.note("listed", settings.id, life=result.value["life"])
-            life = result.value["life"]
-            await asyncio.sleep(settings.model.lease_ms / 1000 / RENEWALS)
+            incarnation = result.value["life"]
+            await asyncio.sleep(settings.model.lease_ms / 1000 / RENEWALS_PER_LEASE)
             continue
-        if result.status == 404 or (result.status == 409 and "is in life" in str(result.value)):
-            life = 0  # its lease ran out, or another life is listed
+        is_expired = result.status == 404
+        is_superseded = result.status == 409 and "is in life" in str(result.value)
+        if is_expired or is_superseded:
+            incarnation = 0
         else:
-            at += 1
-        await asyncio.sleep(AGAIN_S)
+            registry_index += 1
+        await asyncio.sleep(REGISTRATION_RETRY_S)
 
 
-async def serve(settings: Settings) -> None:
+async def run_backend(settings: Settings) -> None:
+    """Serve and stay registered until the process is ended."""
     recorder = Recorder(settings.name, Path(settings.folder))
     machine = Machine(settings, recorder)
     loop = asyncio.get_running_loop()
-    await loop.create_server(lambda: Connection(machine), *settings.listen, backlog=512)
+    await loop.create_server(lambda: Connection(machine), *settings.listen, backlog=LISTEN_BACKLOG)
     recorder.note("serves", settings.id)
-    await asyncio.gather(stay_listed(settings, recorder), asyncio.sleep(math.inf))
+    await asyncio.gather(maintain_registration(settings, recorder), asyncio.sleep(math.inf))
 
 
 if __name__ == "__main__":
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(serve(msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=Settings)))
+        runner.run(run_backend(msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=Settings)))
--- a/orchidhatch/faults/launch.py
+++ b/orchidhatch/faults/launch.py
@@ -1,4 +1,6 @@
-"""Executes a program that is killed when its parent ends: python launch.py PARENT PROGRAM [ARGUMENT ...]
+"""Executes a program that is killed when its parent ends.
+
+    python launch.py PARENT PROGRAM [ARGUMENT ...]
 
 Imports the standard library only, to start quickly: it runs before each process of a trial.
 """
--- a/orchidhatch/faults/load.py
+++ b/orchidhatch/faults/load.py
@@ -1,9 +1,9 @@
-"""Clients: an open-loop load, drawn ahead. A door that stalls shows in the latencies, not as fewer requests.
+"""Generates the clients' load: open-loop, so that a stalled gateway raises latencies and not fewer requests.
 
     python -m orchidhatch.trial.load SETTINGS.json
 
-Each request leaves at the time that was drawn for it; by how much it was late is written down apart, as that
-is this tool's fault and no door's.
+All arrivals are drawn in advance. How late a request was sent is recorded separately, as that delay is the
+load generator's and not the gateway's.
 """
 
 import asyncio
@@ -21,26 +21,36 @@
 from orchidhatch.faults.events import Recorder
 from orchidhatch.faults.plan import Customers, Load
 
-KEPT_S = 2.0  # a connection that was idle for longer is not used again, as the door may be closing it
-MOST_CONNECTIONS = 2000
-MOST_ADVICE_MS = 2000
-LEAVES_AFTER_S = (0.001, 0.4)
-LAST_S = 8.0  # after the last arrival: what has no answer by then has none
+MAX_REUSE_IDLE_S = 2.0
+"""An idle connection is not reused after this time, as the gateway may be closing it."""
+MAX_CONNECTIONS = 2000
+MAX_RETRY_AFTER_MS = 2000
+DEFAULT_RETRY_AFTER_MS = 200
+DISCONNECT_DELAY_RANGE_S = (0.001, 0.4)
+FINAL_WAIT_S = 8.0
+"""How long replies are awaited after the end of the load."""
+COMPLETION_POLL_INTERVAL_S = 0.05
+MAX_REPLY_LENGTH = 80
+CUSTOMER_ID_MULTIPLIER = 2_654_435_761
+"""Spreads customer ids over their range, so that their quota leaders differ."""
 
 
 class Settings(msgspec.Struct, frozen=True):
-    doors: list[Address]  # as clients reach them
+    """The settings file of the load, and of the misbehaving clients."""
+
+    doors: list[Address]  # the gateways' addresses for clients
     load: Load
     seconds: float
     seed: int
-    start_ns: int  # of the monotonic clock
+    start_ns: int  # by the monotonic clock
     folder: str
 
 
-class Ask(msgspec.Struct, frozen=True):
-    """A request: when it is due, of whom, which doors its customer's set has, and its class.
+class ClientRequest(msgspec.Struct, frozen=True):
+    """A request or a retry of one: when it is due, its customer, its gateway and its class.
 
-    Its client closes the connection `leaves_after_s` after sending it; 0: never.
+    The customer's set is `spread` gateways from `first` on. The client closes the connection
+    `disconnect_after_s` after sending the request; 0: never.
     """
 
     due_s: float
@@ -49,217 +59,264 @@
     plan: str
     spread: int
     first: int
-    door: int
-    tries: int = 0
+    gateway: int
+    retries: int = 0
     kind: str = "read"
-    leaves_after_s: float = 0.0
+    disconnect_after_s: float = 0.0
 
 
 def customer_name(plan: int, number: int) -> str:
-    """16 hex digits, a number below 2^33: spread over it, so that homes differ."""
-    return f"{(plan << 28 | number * 2654435761 % (1 << 28)):016x}"
+    """The id of a customer, 16 hexadecimal digits; `plan` is the index of its quota plan."""
+    return f"{(plan << 28 | number * CUSTOMER_ID_MULTIPLIER % (1 << 28)):016x}"
 
 
-def arrivals(load: Load, seconds: float, doors: int, seed: int) -> list[Ask]:
-    """All first tries, in the order of time; each customer's of a stream of its own, and each one's class."""
-    asks = []
+def arrivals(load: Load, seconds: float, gateway_count: int, seed: int) -> list[ClientRequest]:
+    """Draw all first attempts, by due time; each customer has a random stream of its own."""
+    requests = []
     for index, plan in enumerate(load.customers):
         for number in range(plan.count):
-            asks += one_customer(load, plan, index, number, seconds, doors, seed)
-    return sorted([as_drawn(load, ask) for ask in asks], key=lambda ask: (ask.due_s, ask.id))
-
-
-def as_drawn(load: Load, ask: Ask) -> Ask:
-    """The request with its class, and with the time after which its client leaves, if it does."""
-    chance = random.Random(f"{ask.id} class")
-    drawn = chance.random()
-    kind = "settle" if drawn < load.unsafe else "book" if drawn < load.unsafe + load.keyed else "read"
-    leaves_after_s = chance.uniform(*LEAVES_AFTER_S) if chance.random() < load.leaving else 0.0
-    return msgspec.structs.replace(ask, kind=kind, leaves_after_s=leaves_after_s)
-
-
-def one_customer(
-    load: Load, plan: Customers, index: int, number: int, seconds: float, doors: int, seed: int
-) -> Iterator[Ask]:
-    chance = random.Random(f"{seed} clients {index} {number}")
-    name, spread = customer_name(index, number), plan.spread or doors
-    first, at = chance.randrange(doors), 0.0
-    busiest = [chance.random() for _ in range(spread)]  # its requests come unevenly
+            requests += customer_arrivals(load, plan, index, number, seconds, gateway_count, seed)
+    return sorted(
+        [with_class(load, request) for request in requests], key=lambda request: (request.due_s, request.id)
+    )
+
+
+def with_class(load: Load, request: ClientRequest) -> ClientRequest:
+    """Draw the request's class, and whether and when its client disconnects."""
+    stream = random.Random(f"{request.id} class")
+    drawn = stream.random()
+    if drawn < load.unsafe:
+        kind = "settle"
+    elif drawn < load.unsafe + load.keyed:
+        kind = "book"
+    else:
+        kind = "read"
+    is_disconnecting = stream.random() < load.leaving
+    disconnect_after_s = stream.uniform(*DISCONNECT_DELAY_RANGE_S) if is_disconnecting else 0.0
+    return msgspec.structs.replace(request, kind=kind, disconnect_after_s=disconnect_after_s)
+
+
+def customer_arrivals(
+    load: Load, plan: Customers, index: int, number: int, seconds: float, gateway_count: int, seed: int
+) -> Iterator[ClientRequest]:
+    """Draw the first attempts of a customer: Poisson arrivals, spread unevenly over its gateways."""
+    stream = random.Random(f"{seed} clients {index} {number}")
+    name = customer_name(index, number)
+    spread = plan.spread or gateway_count
+    first = stream.randrange(gateway_count)
+    at_s = 0.0
+    gateway_weights = [stream.random() for _ in range(spread)]
     while True:
-        bursts = load.burst_every_s and at % load.burst_every_s < load.burst_every_s / 5
-        at += chance.expovariate(plan.asks * (load.burst_x if bursts else 1.0))
-        if at >= seconds:
+        is_burst = load.burst_every_s and at_s % load.burst_every_s < load.burst_every_s / 5
+        at_s += stream.expovariate(plan.asks * (load.burst_x if is_burst else 1.0))
+        if at_s >= seconds:
             return
-        door = (first + chance.choices(range(spread), busiest)[0]) % doors
-        yield Ask(at, f"{chance.getrandbits(48):012x}", name, plan.plan, spread, first, door)
+        offset = stream.choices(range(spread), gateway_weights)[0]
+        gateway = (first + offset) % gateway_count
+        id_ = f"{stream.getrandbits(48):012x}"
+        yield ClientRequest(at_s, id_, name, plan.plan, spread, first, gateway)
 
 
-def command(words: list[bytes]) -> bytes:
-    """A command as it is on the wire."""
-    return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%b\r\n" % (len(word), word) for word in words)
+def encode_command(arguments: list[bytes]) -> bytes:
+    """Encode a command as a RESP array."""
+    encoded = b"".join(b"$%d\r\n%b\r\n" % (len(argument), argument) for argument in arguments)
+    return b"*%d\r\n" % len(arguments) + encoded
 
 
 class Client(asyncio.Protocol):
-    """A connection to a door, one request at a time."""
-
-    def __init__(self, clients: "Clients", door: int) -> None:
-        self.clients, self.door, self.ask = clients, door, None
-        self.ask: Ask | None
-        self.uses = self.received = 0
-        self.parser, self.idle_s = hiredis.Reader(), 0.0
+    """A connection to a gateway, with at most one request in flight."""
+
+    def __init__(self, clients: "Clients", gateway: int) -> None:
+        self.clients = clients
+        self.gateway = gateway
+        self.request: ClientRequest | None = None
+        self.use_count = 0
+        self.received_bytes = 0
+        self.parser = hiredis.Reader()
+        self.idle_since_s = 0.0
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
+        """Keep the transport."""
         self.transport = transport
 
-    def send(self, ask: Ask) -> None:
-        self.ask, self.received = ask, 0
-        text = (
-            f"c={ask.kind},t={ask.plan},d={self.clients.settings.load.patience_ms},units=1,"
-            f"spread={ask.spread},first={ask.first}" + (",r=1" if ask.tries else "")
+    def send(self, request: ClientRequest) -> None:
+        """Send a request, and schedule the client's disconnect if it has one."""
+        self.request = request
+        self.received_bytes = 0
+        fields = (
+            f"c={request.kind},t={request.plan},d={self.clients.settings.load.patience_ms},units=1,"
+            f"spread={request.spread},first={request.first}"
         )
-        if ask.kind == "book":
-            text += f",k={ask.id[:12]}"
-        words = [b"SVC.QUERY", ask.customer.encode(), ask.id.encode(), text.encode()]
-        if ask.kind != "read":
-            words = [b"SVC.SUBMIT", *words[1:], b"body"]
-        self.transport.write(command(words))
-        if ask.leaves_after_s:
-            asyncio.get_running_loop().call_later(ask.leaves_after_s, self.leave, ask)
+        if request.retries:
+            fields += ",r=1"
+        if request.kind == "book":
+            fields += f",k={request.id[:12]}"
+        arguments = [b"SVC.QUERY", request.customer.encode(), request.id.encode(), fields.encode()]
+        if request.kind != "read":
+            arguments = [b"SVC.SUBMIT", *arguments[1:], b"body"]
+        self.transport.write(encode_command(arguments))
+        if request.disconnect_after_s:
+            loop = asyncio.get_running_loop()
+            loop.call_later(request.disconnect_after_s, self.disconnect, request)
         self.clients.recorder.note(
             "ask",
-            ask.id,
-            door=ask.door,
-            customer=ask.customer,
-            plan=ask.plan,
-            kind=ask.kind,
-            new=self.uses == 0,
-            late_us=round((self.clients.now_s() - ask.due_s) * 1e6),
-            tries=ask.tries,
+            request.id,
+            door=request.gateway,
+            customer=request.customer,
+            plan=request.plan,
+            kind=request.kind,
+            new=self.use_count == 0,
+            late_us=round((self.clients.now_s() - request.due_s) * 1e6),
+            tries=request.retries,
         )
-        self.uses += 1
+        self.use_count += 1
 
-    def leave(self, ask: Ask) -> None:
-        """Close the connection on which the request is unanswered."""
-        if self.ask is not ask:
+    def disconnect(self, request: ClientRequest) -> None:
+        """Abort the connection if the request is still in flight on it."""
+        if self.request is not request:
             return
-        self.ask = None
-        self.clients.recorder.note("gone", ask.id, door=ask.door)
+        self.request = None
+        self.clients.recorder.note("gone", request.id, door=request.gateway)
         self.transport.abort()
-        self.clients.over(ask, "left", "")
+        self.clients.finish(request, "left", "")
 
     def data_received(self, data: bytes) -> None:
-        self.received += len(data)
+        """Match each complete reply with the request in flight; record a reply that has none."""
+        self.received_bytes += len(data)
         self.parser.feed(data)
         while (reply := self.parser.gets()) is not False:
-            if self.ask is None:
-                self.clients.recorder.note("surplus", f"door-{self.door}", reply=repr(reply)[:80])
+            if self.request is None:
+                text = repr(reply)[:MAX_REPLY_LENGTH]
+                self.clients.recorder.note("surplus", f"door-{self.gateway}", reply=text)
                 continue
-            ask, self.ask, self.idle_s = self.ask, None, time.monotonic()
-            self.clients.answered(self, ask, reply)
+            request = self.request
+            self.request = None
+            self.idle_since_s = time.monotonic()
+            self.clients.handle_reply(self, request, reply)
 
     def connection_lost(self, error: Exception | None) -> None:
-        if self.ask is not None:
-            ask, self.ask = self.ask, None
-            how = "cut" if self.received else "closed"  # its answer had begun, or not
-            self.clients.over(ask, how, repr(error) if error else "")
-        self.clients.forget(self)
+        """Finish the request in flight: cut within its reply, or closed before the reply began."""
+        if self.request is not None:
+            request = self.request
+            self.request = None
+            result = "cut" if self.received_bytes else "closed"
+            self.clients.finish(request, result, repr(error) if error else "")
+        self.clients.remove(self)
 
 
 class Clients:
-    """All of them."""
+    """The clients of a trial, with their connections and unfinished requests."""
 
     def __init__(self, settings: Settings, recorder: Recorder) -> None:
-        self.settings, self.recorder = settings, recorder
+        self.settings = settings
+        self.recorder = recorder
         self.idle: list[list[Client]] = [[] for _ in settings.doors]
-        self.all: set[Client] = set()
-        self.chance = random.Random(f"{settings.seed} retries")
-        self.open: dict[str, Ask] = {}
+        self.connections: set[Client] = set()
+        self.retry_stream = random.Random(f"{settings.seed} retries")
+        self.unfinished: dict[str, ClientRequest] = {}
 
     def now_s(self) -> float:
+        """Seconds since the start of the load."""
         return (time.monotonic_ns() - self.settings.start_ns) / 1e9
 
-    async def play(self) -> None:
+    async def run(self) -> None:
+        """Send each request at its due time, then await the last replies."""
         loop = asyncio.get_running_loop()
         settings = self.settings
-        asks = arrivals(settings.load, settings.seconds, len(settings.doors), settings.seed)
-        for ask in asks:
-            if (wait := ask.due_s - self.now_s()) > 0:
-                await asyncio.sleep(wait)
-            loop.create_task(self.begin(ask))  # noqa: RUF006 - `open` tells of those that are under way
-            self.open[ask.id] = ask
-        deadline = self.settings.seconds + LAST_S
-        while self.open and self.now_s() < deadline:
-            await asyncio.sleep(0.05)
-        for ask in self.open.values():
-            self.recorder.note("unanswered", ask.id, door=ask.door)
-
-    async def begin(self, ask: Ask) -> None:
-        idle = self.idle[ask.door]
+        requests = arrivals(settings.load, settings.seconds, len(settings.doors), settings.seed)
+        for request in requests:
+            wait_s = request.due_s - self.now_s()
+            if wait_s > 0:
+                await asyncio.sleep(wait_s)
+            loop.create_task(self.start(request))  # noqa: RUF006 - `unfinished` tracks the requests
+            self.unfinished[request.id] = request
+        deadline_s = settings.seconds + FINAL_WAIT_S
+        while self.unfinished and self.now_s() < deadline_s:
+            await asyncio.sleep(COMPLETION_POLL_INTERVAL_S)
+        for request in self.unfinished.values():
+            self.recorder.note("unanswered", request.id, door=request.gateway)
+
+    async def start(self, request: ClientRequest) -> None:
+        """Send a request on an idle connection to its gateway, or on a new one."""
+        idle = self.idle[request.gateway]
         while idle:
             client = idle.pop()
-            if not client.transport.is_closing() and time.monotonic() - client.idle_s < KEPT_S:
-                client.send(ask)
+            is_closing = client.transport.is_closing()
+            if not is_closing and time.monotonic() - client.idle_since_s < MAX_REUSE_IDLE_S:
+                client.send(request)
                 return
             client.transport.close()
-        if len(self.all) >= MOST_CONNECTIONS:
-            self.over(ask, "crowded", "")
+        if len(self.connections) >= MAX_CONNECTIONS:
+            self.finish(request, "crowded", "")
             return
         try:
             async with asyncio.timeout(self.settings.load.patience_ms / 1000):
                 _, client = await asyncio.get_running_loop().create_connection(
-                    lambda: Client(self, ask.door), *self.settings.doors[ask.door]
+                    lambda: Client(self, request.gateway), *self.settings.doors[request.gateway]
                 )
         except (OSError, TimeoutError) as error:
-            self.over(ask, "unsent", repr(error))
+            self.finish(request, "unsent", repr(error))
             return
-        self.all.add(client)
-        client.send(ask)
-
-    def answered(self, client: Client, ask: Ask, reply: object) -> None:
-        self.idle[ask.door].append(client)
-        if isinstance(reply, bytes) or (isinstance(reply, list) and reply and isinstance(reply[0], bytes)):
-            value = reply if isinstance(reply, bytes) else reply[0]
-            self.over(ask, "served", value.decode(errors="replace"))
+        self.connections.add(client)
+        client.send(request)
+
+    def handle_reply(self, client: Client, request: ClientRequest, reply: object) -> None:
+        """Finish a request by its reply, and retry it if the gateway was busy."""
+        self.idle[request.gateway].append(client)
+        value = reply[0] if isinstance(reply, list) and reply else reply
+        if isinstance(value, bytes):
+            self.finish(request, "served", value.decode(errors="replace"))
         elif isinstance(reply, hiredis.ReplyError) and str(reply).startswith("BUSY"):
-            self.over(ask, "busy", str(reply))
-            self.come_again(ask, str(reply))
+            self.finish(request, "busy", str(reply))
+            self.schedule_retry(request, str(reply))
         else:
-            self.over(ask, "failed", str(reply))
-
-    def over(self, ask: Ask, how: str, text: str) -> None:
-        self.open.pop(ask.id, None)
-        self.recorder.note("end", ask.id, how=how, text=text[-80:])
-
-    def come_again(self, ask: Ask, text: str) -> None:
-        """By the advice where there is one; a new try has a new id."""
-        words = text.split()
-        advice_ms = int(words[1]) if len(words) > 1 and words[1].isdecimal() else 200
-        due = self.now_s() + min(advice_ms, MOST_ADVICE_MS) / 1000
-        if ask.tries < self.settings.load.retries and due < self.settings.seconds:
-            door = (ask.first + self.chance.randrange(ask.spread)) % len(self.settings.doors)
-            again = msgspec.structs.replace(
-                ask, due_s=due, id=f"{ask.id[:12]}{ask.tries + 1}", door=door, tries=ask.tries + 1
-            )
-            self.open[again.id] = again
-            asyncio.get_running_loop().call_at(
-                asyncio.get_running_loop().time() + due - self.now_s(), self.begin_later, again
-            )
-
-    def begin_later(self, ask: Ask) -> None:
-        asyncio.get_running_loop().create_task(self.begin(ask))
-
-    def forget(self, client: Client) -> None:
-        self.all.discard(client)
-
-
-async def play(settings: Settings) -> None:
+            self.finish(request, "failed", str(reply))
+
+    def finish(self, request: ClientRequest, result: str, text: str) -> None:
+        """Record the end of a request."""
+        self.unfinished.pop(request.id, None)
+        self.recorder.note("end", request.id, how=result, text=text[-MAX_REPLY_LENGTH:])
+
+    def schedule_retry(self, request: ClientRequest, error: str) -> None:
+        """Schedule a retry, under a new id, after the time that the error names, if it names any."""
+        error_fields = error.split()
+        retry_after_ms = DEFAULT_RETRY_AFTER_MS
+        if len(error_fields) > 1 and error_fields[1].isdecimal():
+            retry_after_ms = int(error_fields[1])
+        due_s = self.now_s() + min(retry_after_ms, MAX_RETRY_AFTER_MS) / 1000
+        if request.retries >= self.settings.load.retries or due_s >= self.settings.seconds:
+            return
+        offset = self.retry_stream.randrange(request.spread)
+        retry_number = request.retries + 1
+        retry = msgspec.structs.replace(
+            request,
+            due_s=due_s,
+            id=f"{request.id[:12]}{retry_number}",
+            gateway=(request.first + offset) % len(self.settings.doors),
+            retries=retry_number,
+        )
+        self.unfinished[retry.id] = retry
+        loop = asyncio.get_running_loop()
+        loop.call_at(loop.time() + due_s - self.now_s(), self.start_in_background, retry)
+
+    def start_in_background(self, request: ClientRequest) -> None:
+        """Start a request in a task of its own."""
+        asyncio.get_running_loop().create_task(self.start(request))
+
+    def remove(self, client: Client) -> None:
+        """Remove a connection that was closed."""
+        self.connections.discard(client)
+
+
+async def generate_load(settings: Settings) -> None:
+    """Generate the load of a trial, and record its events in the trial's folder."""
     recorder = Recorder("clients", Path(settings.folder))
     recorder.note("serves", "clients")
-    await Clients(settings, recorder).play()
+    await Clients(settings, recorder).run()
     recorder.note("done", "clients")
 
 
 if __name__ == "__main__":
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(play(msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=Settings)))
+        runner.run(generate_load(msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=Settings)))
--- a/orchidhatch/faults/odd_clients.py
+++ b/orchidhatch/faults/odd_clients.py
@@ -1,9 +1,9 @@
-"""Clients that misbehave, beside a trial's load: they stop amid a command, flood, leave, half-close.
+"""Misbehaving clients beside a trial's load: incomplete commands, floods, disconnects, half-closes.
 
     python -m orchidhatch.faults.odd_clients SETTINGS.json
 
-The gateway owes each of them an error line or a close within the time of the operators' page, unless a whole
-request was sent; what becomes of each is written down. Settings are those of the load.
+The gateway must send an error or close the connection within the time of the operators' page, unless it
+received a complete request; the end of each connection is recorded. The settings are those of the load.
 """
 
 import asyncio
@@ -16,32 +16,34 @@
 import uvloop
 
 from orchidhatch.faults.events import Recorder
-from orchidhatch.faults.load import Settings, command, customer_name
+from orchidhatch.faults.load import Settings, customer_name, encode_command
 
-STAYS_S = 6.0
-"""For how long one that owes the rest of its command waits for what the gateway does."""
+GATEWAY_WAIT_S = 6.0
+"""How long a client with an incomplete command waits for the gateway to act."""
+HALF_CLOSED_WAIT_S = 0.3
+MAX_READ_BYTES = 1 << 16
 FLOOD_COMMANDS = 300
-PIPELINED = 24
-WAYS = ("silent", "half", "nonsense", "flood", "pipelined and gone", "half-closed", "gone amid")
-OWED_AN_END = frozenset({"silent", "half", "nonsense"})
-"""Those that send no whole request and stay: they are owed an error or a close."""
+PIPELINED_REQUESTS = 24
+BEHAVIOURS = ("silent", "half", "nonsense", "flood", "pipelined and gone", "half-closed", "gone amid")
+WAITING_BEHAVIOURS = frozenset({"silent", "half", "nonsense"})
+"""Without a complete request and without a disconnect: the gateway must end the connection."""
 
 
 class OddClients:
-    """Begins connections at random times, each misbehaving in one way."""
+    """Opens connections at random times, each with a random kind of misbehaviour."""
 
     def __init__(self, settings: Settings, recorder: Recorder) -> None:
         self._settings = settings
         self._recorder = recorder
-        self._chance = random.Random(f"{settings.seed} odd clients")
+        self._stream = random.Random(f"{settings.seed} odd clients")
         self._tasks: set[asyncio.Task[None]] = set()
 
-    async def play(self) -> None:
-        """Until the load is over and all of them are done."""
+    async def run(self) -> None:
+        """Open connections until the load ends, then wait until all of them have ended."""
         rate = self._settings.load.odd_per_s
         while self._now_s() < self._settings.seconds:
-            await asyncio.sleep(self._chance.expovariate(rate))
-            task = asyncio.create_task(self._one(self._chance.choice(WAYS)))
+            await asyncio.sleep(self._stream.expovariate(rate))
+            task = asyncio.create_task(self._run_client(self._stream.choice(BEHAVIOURS)))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -50,81 +52,87 @@
         return (time.monotonic_ns() - self._settings.start_ns) / 1e9
 
     def _request(self) -> tuple[str, bytes]:
-        """A whole request of its own id, and the id."""
+        """A new request's id, and its command."""
         plan = self._settings.load.customers[0]
-        id_ = f"odd{self._chance.getrandbits(44):011x}"
-        fields = (
-            f"c=read,t={plan.plan},d=2000,units=1,spread={plan.spread or len(self._settings.doors)},first=0"
-        )
-        words = [b"SVC.QUERY", customer_name(0, 0).encode(), id_.encode(), fields.encode()]
-        return id_, command(words)
-
-    async def _one(self, way: str) -> None:
-        gateway = self._chance.randrange(len(self._settings.doors))
-        name = f"odd-{self._chance.getrandbits(32):08x}"
+        id_ = f"odd{self._stream.getrandbits(44):011x}"
+        spread = plan.spread or len(self._settings.doors)
+        fields = f"c=read,t={plan.plan},d=2000,units=1,spread={spread},first=0"
+        arguments = [b"SVC.QUERY", customer_name(0, 0).encode(), id_.encode(), fields.encode()]
+        return id_, encode_command(arguments)
+
+    async def _run_client(self, behaviour: str) -> None:
+        """Open a connection, misbehave on it and record how it ended."""
+        gateway = self._stream.randrange(len(self._settings.doors))
+        name = f"odd-{self._stream.getrandbits(32):08x}"
         try:
             reader, writer = await asyncio.open_connection(*self._settings.doors[gateway])
         except OSError:
             return
-        began_s = time.monotonic()
-        self._recorder.note("odd", name, door=gateway, way=way)
+        started_s = time.monotonic()
+        self._recorder.note("odd", name, door=gateway, way=behaviour)
         try:
-            await self._misbehave(way, gateway, writer)
-            how = await self._end_of(reader) if way in OWED_AN_END else "left"
+            await self._misbehave(behaviour, gateway, writer)
+            result = "left"
+            if behaviour in WAITING_BEHAVIOURS:
+                result = await self._await_gateway(reader)
         except OSError as error:
-            how = type(error).__name__
-        took_s = time.monotonic() - began_s
-        self._recorder.note("odd-end", name, door=gateway, way=way, how=how, took_s=round(took_s, 3))
+            result = type(error).__name__
+        took_s = round(time.monotonic() - started_s, 3)
+        self._recorder.note("odd-end", name, door=gateway, way=behaviour, how=result, took_s=took_s)
         writer.transport.abort()
 
-    async def _misbehave(self, way: str, gateway: int, writer: asyncio.StreamWriter) -> None:
+    async def _misbehave(self, behaviour: str, gateway: int, writer: asyncio.StreamWriter) -> None:
+        """Send what the behaviour sends; record the requests that a disconnect abandons."""
         id_, request = self._request()
-        match way:
+        match behaviour:
             case "half":
-                writer.write(request[: self._chance.randrange(1, len(request))])
+                writer.write(request[: self._stream.randrange(1, len(request))])
             case "nonsense":
-                writer.write(self._chance.randbytes(40) + b"\r\n")
+                writer.write(self._stream.randbytes(40) + b"\r\n")
             case "flood":
-                writer.write(command([b"PING"]) * FLOOD_COMMANDS)
-                await asyncio.sleep(self._chance.uniform(0.0, 0.05))
+                writer.write(encode_command([b"PING"]) * FLOOD_COMMANDS)
+                await asyncio.sleep(self._stream.uniform(0.0, 0.05))
             case "pipelined and gone":
-                requests = [self._request() for _ in range(PIPELINED)]
+                requests = [self._request() for _ in range(PIPELINED_REQUESTS)]
                 writer.write(b"".join(data for _, data in requests))
-                await asyncio.sleep(self._chance.uniform(0.0, 0.1))
-                self._leave([id_ for id_, _ in requests], gateway, writer)
+                await asyncio.sleep(self._stream.uniform(0.0, 0.1))
+                self._disconnect([id_ for id_, _ in requests], gateway, writer)
             case "half-closed":
                 writer.write(request)
-                await asyncio.sleep(self._chance.uniform(0.0, 0.1))
+                await asyncio.sleep(self._stream.uniform(0.0, 0.1))
                 self._recorder.note("gone", id_, door=gateway)
                 writer.write_eof()
-                await asyncio.sleep(0.3)
+                await asyncio.sleep(HALF_CLOSED_WAIT_S)
             case "gone amid":
-                writer.write(request[: self._chance.randrange(1, len(request))])
-                await asyncio.sleep(self._chance.uniform(0.0, 0.5))
+                writer.write(request[: self._stream.randrange(1, len(request))])
+                await asyncio.sleep(self._stream.uniform(0.0, 0.5))
 
-    def _leave(self, ids: list[str], gateway: int, writer: asyncio.StreamWriter) -> None:
+    def _disconnect(self, ids: list[str], gateway: int, writer: asyncio.StreamWriter) -> None:
+        """Record the abandoned requests and abort the connection."""
         for id_ in ids:
             self._recorder.note("gone", id_, door=gateway)
         writer.transport.abort()
 
-    async def _end_of(self, reader: asyncio.StreamReader) -> str:
-        """What the gateway does for one that sends nothing more."""
+    async def _await_gateway(self, reader: asyncio.StreamReader) -> str:
+        """Wait for the gateway to act on a client that sends nothing more; return what it did."""
         try:
-            async with asyncio.timeout(STAYS_S):
-                data = await reader.read(1 << 16)
+            async with asyncio.timeout(GATEWAY_WAIT_S):
+                data = await reader.read(MAX_READ_BYTES)
         except TimeoutError:
             return "nothing"
-        return "error" if data.startswith(b"-") else "closed" if not data else "answered"
+        if not data:
+            return "closed"
+        return "error" if data.startswith(b"-") else "answered"
 
 
-async def play(settings: Settings) -> None:
-    """Play all of them."""
+async def run_odd_clients(settings: Settings) -> None:
+    """Run the misbehaving clients of a trial, and record their events in its folder."""
     recorder = Recorder("odd-clients", Path(settings.folder))
     recorder.note("serves", "odd-clients")
-    await OddClients(settings, recorder).play()
+    await OddClients(settings, recorder).run()
     recorder.note("done", "odd-clients")
 
 
 if __name__ == "__main__":
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(play(msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=Settings)))
+        runner.run(run_odd_clients(msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=Settings)))
--- a/orchidhatch/faults/stepped.py
+++ b/orchidhatch/faults/stepped.py
@@ -1,4 +1,4 @@
-"""Starts a module of the program with a stepped wall clock, or with a seeded defect:
+"""Starts a module of the program with a stepped wall clock, or with a seeded defect.
 
     python -m orchidhatch.faults.stepped [--clock FILE] [--plant NAME] [--record FOLDER] MODULE [ARGUMENT ...]
 
--- a/tests/faults/test_plan.py
+++ b/tests/faults/test_plan.py
@@ -16,19 +16,19 @@
 @given(st.integers(0, 2**64))
 def test_seed_determines_faults_and_arrivals(seed: int) -> None:
     plan = plans.read_plan(ROOT / "trials/words.toml")
-    one = plans.draw(plan, seed)
-    assert one == plans.draw(plan, seed) != plans.draw(plan, seed + 1)
-    assert len(one.faults) == len(plan.faults) + plan.chance.count
-    assert [fault.at for fault in one.faults] == sorted(fault.at for fault in one.faults)
-    assert msgspec.json.decode(msgspec.json.encode(one), type=plans.Script) == one
-    for fault in one.faults:
+    script = plans.draw(plan, seed)
+    assert script == plans.draw(plan, seed) != plans.draw(plan, seed + 1)
+    assert len(script.faults) == len(plan.faults) + plan.chance.count
+    assert [fault.at for fault in script.faults] == sorted(fault.at for fault in script.faults)
+    assert msgspec.json.decode(msgspec.json.encode(script), type=plans.Script) == script
+    for fault in script.faults:
         names = plan.links() if fault.kind in plans.LINK_KINDS else plan.processes()
         assert plans.matching(fault.who, names)
     some = msgspec.structs.replace(plan.load, customers=plan.load.customers[1:])
-    asks = load.arrivals(some, 2.0, plan.doors, seed)
-    assert asks == load.arrivals(some, 2.0, plan.doors, seed)
-    assert len({ask.id for ask in asks}) == len(asks)
-    assert all((ask.door - ask.first) % plan.doors < ask.spread for ask in asks)
+    requests = load.arrivals(some, 2.0, plan.doors, seed)
+    assert requests == load.arrivals(some, 2.0, plan.doors, seed)
+    assert len({request.id for request in requests}) == len(requests)
+    assert all((request.gateway - request.first) % plan.doors < request.spread for request in requests)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -22,9 +22,7 @@
         "proxy/loop_watch.py",
         "proxy/main.py",
         "proxy/start_times.py",
-        "faults/backend.py",
         "faults/load.py",
-        "faults/odd_clients.py",
         "faults/plan.py",
     )
 )
