--- a/orchidhatch/gateway/actions.py
+++ b/orchidhatch/gateway/actions.py
@@ -1,4 +1,4 @@
-"""The actions that the decision core returns for an event, carried out in order; times are microseconds."""
+"""The actions that the decision core returns for an event, to be executed in order. Times are in us."""
 
 from dataclasses import dataclass
 
@@ -16,8 +16,8 @@
 class SendAttempt:
     """Start an attempt.
 
-    A timeout of 0 lasts until the client gives up. An attempt that is not written completely within
-    `start_within_us`, where that is not 0, must not be started any more.
+    A `timeout_us` of 0 means that it lasts until the client gives up. Unless `start_within_us` is 0, an
+    attempt that is not completely written within that time must not be started any more.
     """
 
     id: str
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a TimerExpired event."""
+    """Request a TimerExpired event after `delay_us`."""
 
     delay_us: int
     token: int
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendGossip:
-    """Send messages to a peer, and what was observed of the servers since the last ones.
+    """Send a peer gossip messages, and the observations of servers since the previous ones.
 
     `waited_us` is how long the first message has waited in the outbox.
     """
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AddToCounter:
-    """Add to a number of the shared counter."""
+    """Add to a total of the shared counter."""
 
     name: int
     amount: float
@@ -107,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EjectionResult:
-    """Whether a SetEjection is in force now; not if the server was never listed."""
+    """The result of a SetEjection, which is not accepted if the server was never listed."""
 
     server: str
     is_ejected: bool
@@ -118,9 +118,9 @@
 class MetricsSnapshot:
     """The state of the endpoint list, the request queue and the peer outbox.
 
-    `ejected` are of the `listed` servers. `queued` requests are in the queue or await a grant of their quota,
+    `ejected` of the `listed` servers are ejected. `queued` requests are in the queue or await a quota grant,
     the oldest for `queued_us`; `messages` are in the outbox, the oldest for `messages_us`. `messages_dropped`
-    and `ended`, the requests that ended unserved by reason, count since the start.
+    and `ended`, the requests that ended unserved by reason, count since the process started.
     """
 
     listed: int
@@ -135,7 +135,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitTimes:
-    """Microseconds that requests have waited since the last of these, summed, by what they waited for."""
+    """Microseconds that requests have waited since the previous WaitTimes, summed by what they waited for."""
 
     times: tuple[tuple[str, int], ...]
 
--- a/orchidhatch/gateway/admission.py
+++ b/orchidhatch/gateway/admission.py
@@ -1,4 +1,4 @@
-"""Admission: entry checks, quota decisions, and the requests that await a grant of their quota."""
+"""Admission: entry checks, quota decisions, and the requests that await a quota grant."""
 
 import zlib
 
@@ -26,17 +26,17 @@
 from orchidhatch.gateway.snapshots import CustomerKey
 
 GRANT_WAIT_DIVISOR = 8
-"""A grant is awaited for at most the latency objective divided by this."""
+"""The wait for a grant lasts at most the latency objective divided by this."""
 
 MIN_TICKS_AFTER_GRANT_WAIT = 4
-"""Ticks between the end of the wait for a grant and the request's deadline."""
+"""Minimum number of ticks between the end of the wait for a grant and the request's deadline."""
 
 
 class Admission:
-    """Decides which requests are admitted, by the quota rule (DESIGN, quota rule).
+    """Decides which requests are admitted under the quota rule (DESIGN, quota rule).
 
-    A request is admitted while its customer's local share lasts, else with a probability, its chance; where
-    this gateway cannot know that, it asks the customer's quota leader.
+    A request that its customer's local share covers is admitted. Any other is admitted with a probability,
+    its chance; if this gateway cannot compute it, it requests a grant from the customer's quota leader.
     """
 
     def __init__(
@@ -62,11 +62,11 @@
         self.is_suspended = False
 
     def on_suspend(self, event: SuspendAdmission) -> None:
-        """Suspend admission, or resume it."""
+        """Suspend or resume admission."""
         self.is_suspended = event.is_suspended
 
     def on_request(self, event: Request) -> None:
-        """Take a request and decide on it, unless it is rejected at entry or has too little time left."""
+        """Register a request and decide on it, unless it is rejected at entry or has too little time left."""
         customer = self.quotas.customer(customer_key(event))
         rule = self.context.settings.classes[event.class_index]
         request = InFlightRequest(event, rule, customer, self.context.now_us)
@@ -78,7 +78,7 @@
             self.admit(request)
 
     def entry_rejection(self, event: Request) -> RejectionReason | None:
-        """Why the request is not considered at all, if so."""
+        """Return why the request is rejected without a quota decision; None if it is not."""
         if self.is_suspended:
             return RejectionReason.ADMISSION_SUSPENDED
         if event.customer in self.context.settings.banned_customers:
@@ -88,7 +88,7 @@
         return None
 
     def admit(self, request: InFlightRequest) -> None:
-        """Decide by what is known here of the customer's quota, or ask its quota leader."""
+        """Decide from the local state of the customer's quota, or request a grant from its quota leader."""
         customer = request.customer
         had_local_share = customer.has_local_share(request.units)
         chance = self.quotas.chance(customer, request.units)
@@ -97,11 +97,11 @@
             return
         source = QuotaDecisionSource.LOCAL_SHARE if had_local_share else self.known_source(customer)
         self.decide(request, chance, source)
-        if had_local_share and not customer.shares_slots():  # A slot request would report the demand too.
+        if had_local_share and not customer.shares_slots():  # A slot request reports the demand too.
             self.quotas.report_demand(customer)
 
     def known_source(self, customer: Customer) -> QuotaDecisionSource:
-        """What is known of the quota of the customer's whole set of gateways."""
+        """Return what a decision on the quota of the whole gateway set is based on without a new answer."""
         if customer.is_leader:
             return QuotaDecisionSource.LEADER
         if customer.has_fresh_answer(self.context.now_us):
@@ -111,7 +111,7 @@
     def decide(self, request: InFlightRequest, chance: float, source: QuotaDecisionSource) -> None:
         """Queue the request, or reject it as over quota.
 
-        It is in quota with the probability `chance`; some plans' requests are queued if they are not.
+        It is in quota with probability `chance`. Requests of some plans are queued even if over quota.
         """
         customer = request.customer
         self.counters.count_decision(source, self.context.now_us - customer.last_answer_us)
@@ -125,14 +125,14 @@
         self.queue.dequeue()
 
     def may_exceed_quota(self, customer: Customer) -> bool:
-        """Whether the plan gains by requests beyond its quota, and no overload limits admission."""
+        """Return whether requests over quota are worth their cost on this plan, and N is lifted."""
         plan = customer.plan
         return plan.over_quota_weight > plan.over_quota_cost and self.overload.admission_limit is None
 
     # --- requests that await a grant ---
 
     def request_grant(self, request: InFlightRequest) -> None:
-        """Ask the customer's quota leader, and wait for its answer."""
+        """Request a grant from the customer's quota leader, and wait for its answer."""
         wait_us = min(LEADER_REPLY_TIMEOUT_US, request.rule.latency_objective_us // GRANT_WAIT_DIVISOR)
         latest_us = request.deadline_us - MIN_TICKS_AFTER_GRANT_WAIT * TICK_US
         request.decide_at_us = min(self.context.now_us + wait_us, latest_us)
@@ -144,16 +144,16 @@
             self.quotas.repeat_grant_request(request.customer, request.grant)
 
     def on_grant_answer(self, answer: GrantAnswer | None) -> None:
-        """A quota leader has answered: a request that waits for that, or none."""
+        """Handle a quota leader's answer; None if it answers no grant request that is still open."""
         if answer is not None:
             self.decide_answered(answer)
         self.decide_unanswered()
         self.queue.dequeue()
 
     def decide_answered(self, answer: GrantAnswer) -> None:
-        """Decide on the request that the answer is for, unless its client has gone meanwhile.
+        """Decide on the request that the answer is for, unless its client has disconnected.
 
-        The leader has counted the units; where the client has gone, they are given back.
+        The leader has counted the units, so they are returned if the client has disconnected.
         """
         request = self.take_awaiting(answer.grant)
         if request is None:
@@ -166,7 +166,7 @@
             self.decide(request, answer.chance, QuotaDecisionSource.GRANT_ANSWER)
 
     def decide_unanswered(self) -> None:
-        """Ask again for the requests whose wait is over, or decide on them without an answer."""
+        """Repeat the grant requests whose wait has expired, or decide without an answer."""
         for request in self.take_overdue():
             if not request.is_answered and self.may_request_again(request):
                 self.request_grant(request)
@@ -178,13 +178,13 @@
                 self.quotas.presume_counted(request.customer, request.grant, spent)
 
     def decide_without_answer(self, request: InFlightRequest) -> None:
-        """Decide by what is known here, and leave the leader alone for a while."""
+        """Decide from local state, and pause grant requests to the leader for a while."""
         chance = request.customer.chance(request.units, known=False)
         request.customer.back_off(self.context.now_us, self.context.random.random())
         self.decide(request, chance, QuotaDecisionSource.ANSWER_TIMEOUT)
 
     def may_request_again(self, request: InFlightRequest) -> bool:
-        """Whether the quota leader may be asked once more, as messages may be lost."""
+        """Return whether the grant request may be sent once more, as messages may be lost."""
         is_silent = request.customer.backoff.is_leader_silent
         max_requests = MAX_LEADER_REQUESTS if is_silent else MAX_GRANT_REQUESTS
         if request.grant is None or request.grant.messages >= max_requests:
@@ -197,14 +197,14 @@
         return wait_end_us < request.deadline_us
 
     def take_awaiting(self, grant: GrantRequest) -> InFlightRequest | None:
-        """Remove the request that waits for the grant; None where it is no longer waiting."""
+        """Remove and return the request that waits for the grant; None if it no longer waits."""
         for index, request in enumerate(self.awaiting_grant):
             if request.grant is grant:
                 return self.awaiting_grant.pop(index)
         return None
 
     def take_overdue(self) -> list[InFlightRequest]:
-        """Remove the requests whose wait is over."""
+        """Remove and return the requests whose wait for a grant has expired."""
         now_us = self.context.now_us
         overdue = [request for request in self.awaiting_grant if request.decide_at_us <= now_us]
         self.awaiting_grant = [request for request in self.awaiting_grant if request.decide_at_us > now_us]
@@ -212,6 +212,6 @@
 
 
 def customer_key(event: Request) -> CustomerKey:
-    """The key of the request's customer under its plan and set of gateways."""
+    """Return the key of the request's customer, with its plan and gateway set."""
     checksum = zlib.crc32(event.customer.encode())
     return CustomerKey(checksum, event.plan_index, event.set_first, event.set_size)
--- a/orchidhatch/gateway/attempt_averages.py
+++ b/orchidhatch/gateway/attempt_averages.py
@@ -1,4 +1,4 @@
-"""Decaying averages of what this gateway's attempts show: latency, and the load that servers report.
+"""Decaying averages over this gateway's attempts: latency, and the load that servers report.
 
 The expected cost of a server is computed from them (see expected_cost.py). DESIGN leaves the choice of server
 to the implementation.
@@ -27,17 +27,17 @@
         self.mean_load = 0.0
 
     def reference_latency_us(self, class_index: int) -> float:
-        """The mean latency of a class in microseconds, never zero, to divide by."""
+        """Return the mean latency of a class in microseconds, never 0, for use as a divisor."""
         return max(MIN_MEAN_LATENCY_US, self.mean_latencies_us[class_index])
 
     def record_load(self, server: ServerRecord, load: float, now_us: int) -> None:
-        """Take in the load that a server reported with an answer."""
+        """Record the load that a server reported with an answer."""
         server.reported_load = load
         server.load_reported_us = now_us
         self.mean_load = decay_towards(self.mean_load, load, SAMPLE_WEIGHT)
 
     def record_latency(self, server: ServerRecord, class_index: int, latency_us: int) -> None:
-        """Take in the latency of an answer to a request of that class."""
+        """Record the latency of an answer to a request of the class."""
         ratio = latency_us / self.reference_latency_us(class_index)
         sample = min(MAX_RELATIVE_LATENCY, max(MIN_RELATIVE_LATENCY, ratio))
         server.relative_latency = decay_towards(server.relative_latency, sample, SAMPLE_WEIGHT)
@@ -45,7 +45,7 @@
         self.mean_latencies_us[class_index] = decay_towards(mean_us, latency_us, SAMPLE_WEIGHT)
 
     def decay(self, server: ServerRecord) -> None:
-        """Move a server's relative latency towards neutral, so that a slow one is used again in time."""
+        """Move a server's relative latency towards neutral, so that a slow server is eventually reused."""
         server.relative_latency = decay_towards(
             server.relative_latency, NEUTRAL_RELATIVE_LATENCY, SAMPLE_WEIGHT
         )
--- a/orchidhatch/gateway/attempt_control.py
+++ b/orchidhatch/gateway/attempt_control.py
@@ -1,4 +1,4 @@
-"""The way of a request's attempts: their ends, retries, and streamed answers."""
+"""The lifecycle of attempts: their ends, retries, and streamed answers."""
 
 from orchidhatch.gateway.attempt_learning import AttemptLearning
 from orchidhatch.gateway.attempt_sender import AttemptSender
@@ -18,7 +18,7 @@
 
 
 class AttemptControl:
-    """Takes the ends of attempts: frees what they used, learns from them, retries or ends their requests."""
+    """Handles ended attempts: frees their resources, records results, and retries or ends their requests."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         self.learning = learning
 
     def on_attempt_ended(self, event: AttemptEnded) -> None:
-        """An attempt has ended; nothing where it is not known to be in flight."""
+        """Handle the end of an attempt; ignored if the attempt is not known to be in flight."""
         request = self.requests.get(event.id)
         if request is None or event.attempt not in request.attempts:
             return
@@ -62,7 +62,7 @@
             self.quotas.report_in_flight(request.customer)
 
     def on_stream_started(self, event: StreamStarted) -> None:
-        """A streamed answer has begun: the server has done its work, and the rest depends on the client."""
+        """Handle the start of a streamed answer: the server is done, and the rest depends on the client."""
         request = self.requests.get(event.id)
         if request is None or event.attempt not in request.attempts or request.is_answered:
             return
@@ -74,10 +74,10 @@
         self.learning.learn(request, server, served)
 
     def free_attempt(self, request: InFlightRequest, event: AttemptEnded) -> None:
-        """Take an ended attempt off its customer and server, and learn from its end.
+        """Remove an ended attempt from its customer and server, and record its result.
 
-        One with a streamed answer was taken off its server when the stream began; only its failure is learnt
-        here, as its success was learnt then.
+        An attempt with a streamed answer was removed from its server, and its success recorded, when the
+        stream began; only a failure is recorded here.
         """
         server = request.servers[event.attempt]
         request.customer.attempt_ended()
@@ -89,19 +89,19 @@
             self.learning.learn(request, server, event)
 
     def free_server(self, server: ServerRecord, request: InFlightRequest, number: int) -> None:
-        """The server has no more work with the attempt."""
+        """Count the attempt as no longer in flight at the server."""
         self.overload.in_flight -= 1
         self.balancer.attempt_ended(server, (request.id, number))
 
     def note_whether_run(self, request: InFlightRequest, result: AttemptResult) -> None:
-        """Where no attempt of the request can have run, it is bound to no server, and may be rejected."""
+        """Count an attempt that has not run; if none of them has, the request is bound to no server."""
         if result in NOT_RUN_RESULTS:
             request.unrun_attempts += 1
         if request.unrun_attempts == len(request.servers):
             request.first_server = None
 
     def retry(self, request: InFlightRequest, result: AttemptResult) -> bool:
-        """Retry after an attempt that ended so, at once or from the queue; False if it may not be retried."""
+        """Retry after an attempt with that result, at once or from the queue; False if not permitted."""
         if not self.retries.may_retry(request, result):
             return False
         server = self.balancer.choose(request)
@@ -115,7 +115,7 @@
         return False
 
     def overdue_ages(self) -> list[float]:
-        """The ages of attempts that take longer than the mean latency, in latency objectives, at most 1."""
+        """Return the ages of attempts slower than the mean, as fractions of the latency objective up to 1."""
         now_us = self.context.now_us
         mean_us = self.balancer.mean_us
         return [
--- a/orchidhatch/gateway/attempt_learning.py
+++ b/orchidhatch/gateway/attempt_learning.py
@@ -1,4 +1,4 @@
-"""What the ends of attempts show of the servers' load and health, here and at other gateways."""
+"""Feedback from attempts, of this gateway and of others, on the load and health of servers."""
 
 from collections.abc import Iterable
 
@@ -17,7 +17,7 @@
 
 
 class AttemptLearning:
-    """Passes what attempts show on to overload control, load balancing and the other gateways."""
+    """Passes the results of attempts on to overload control, load balancing and the other gateways."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         self.outbox = outbox
 
     def learn(self, request: InFlightRequest, server: ServerRecord, event: AttemptEnded) -> None:
-        """Learn from an attempt of this gateway that has ended, or whose streamed answer has begun."""
+        """Record an attempt of this gateway that has ended, or whose streamed answer has begun."""
         result = event.result
         has_latency = result in RESULTS_WITH_LATENCY
         relative_latency = event.latency_us / request.rule.latency_objective_us if has_latency else 0.0
@@ -57,7 +57,7 @@
             self.overload.observe(OccupancySignal.LATENCY, min(1.0, relative_latency))
 
     def learn_from_peer(self, observations: Iterable[AttemptObservation]) -> None:
-        """Learn from attempts of another gateway."""
+        """Record the results of another gateway's attempts."""
         classes = self.context.settings.classes
         for observation in observations:
             server = self.balancer.index.with_checksum(observation.server_checksum)
@@ -72,7 +72,10 @@
 
 
 def reported_load(report: LoadReport) -> float | None:
-    """The figure by which servers are compared; only `util` says by itself how busy a server is."""
+    """Return the load figure by which servers are compared, None without any.
+
+    `util` is preferred, as it alone tells how busy a server is; the others only compare servers.
+    """
     if report.util is not None:
         return report.util
     if report.inflight is not None:
--- a/orchidhatch/gateway/attempt_sender.py
+++ b/orchidhatch/gateway/attempt_sender.py
@@ -1,4 +1,4 @@
-"""Sends attempts: books each on its customer, server and limits, and sets its timeout."""
+"""Sending of attempts: charges each to its customer, server and limits, and sets its timeout."""
 
 from orchidhatch.gateway.actions import SendAttempt
 from orchidhatch.gateway.decision_context import DecisionContext
--- a/orchidhatch/gateway/attempts.py
+++ b/orchidhatch/gateway/attempts.py
@@ -7,9 +7,9 @@
 class AttemptResult(Enum):
     """How an attempt, a health check or a counter call ended.
 
-    NOT_SENT is an attempt that was dropped before it was sent, as its request needed it no more;
-    LOCAL_FAILURE one that failed on this machine before it was sent, which says nothing of the server.
-    REJECTED is one that the server had no capacity for.
+    NOT_SENT means that the attempt was dropped before it was sent, as its request no longer needed it;
+    LOCAL_FAILURE that it failed on this machine before it was sent, which says nothing about the server;
+    REJECTED that the server had no capacity for it.
     """
 
     OK = "ok"
@@ -31,7 +31,7 @@
         AttemptResult.LOCAL_FAILURE,
     )
 )
-"""Results of attempts that are certain not to have run."""
+"""Results of attempts that have certainly not run."""
 
 OBSERVED_RESULTS = (
     AttemptResult.OK,
@@ -40,15 +40,15 @@
     AttemptResult.RESET,
     AttemptResult.REJECTED,
 )
-"""Results that say how a server serves, whichever gateway sent the attempt."""
+"""Results that show how well a server performs, whichever gateway sent the attempt."""
 
 UNINFORMATIVE_RESULTS = (AttemptResult.CANCELLED, AttemptResult.NOT_SENT, AttemptResult.LOCAL_FAILURE)
-"""Results of attempts that were cancelled or failed on this side, which say nothing of the server."""
+"""Results of attempts that were cancelled or failed on this side, which say nothing about the server."""
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """A server's load as it reports it; None for a figure that it does not report.
+    """The load that a server reports; None for a figure that it does not report.
 
     `util` is the busy fraction of its cores, `service_ms` its mean service time in milliseconds.
     """
--- a/orchidhatch/gateway/bounded_map.py
+++ b/orchidhatch/gateway/bounded_map.py
@@ -1,4 +1,4 @@
-"""A bound for maps that remember names: the least useful entries are forgotten. It decides nothing."""
+"""A size limit for maps of known names: the least useful entries are deleted. Has no decision logic."""
 
 from collections.abc import Container
 from typing import TypeVar
@@ -9,7 +9,7 @@
 def forget_excess(entries: dict[Key, bool], limit: int, kept: Container[Key]) -> None:
     """Delete entries until `limit` are left, or only those in `kept`.
 
-    First go the oldest whose value is false, then the oldest whose value is true.
+    Entries whose value is false are deleted before those whose value is true, and older before newer ones.
     """
     excess = len(entries) - limit
     if excess <= 0:
--- a/orchidhatch/gateway/candidates.py
+++ b/orchidhatch/gateway/candidates.py
@@ -1,7 +1,7 @@
 """Candidates: the servers that an attempt of a request may go to.
 
-Excluded are ejected servers, those that the request was sent to before, those that are full and those in
-slow start without credit. A keyed request that may have run stays within its deduplication scope (the
+A server is not a candidate while it is ejected, full, or in slow start without credit, or if the request was
+sent to it before. A keyed request that may have run stays within its deduplication scope (the
 operators' rule on repeated side effects). DESIGN leaves the choice of server to the implementation.
 """
 
@@ -17,16 +17,16 @@
 from orchidhatch.gateway.settings import DeduplicationScope, Idempotency
 from orchidhatch.gateway.slow_start import SlowStart
 
-# Candidates compared for one attempt: if many gateways all took the emptiest server, they would flood it.
+# Candidates compared for one attempt: if many gateways all chose the emptiest server, they would flood it.
 MAX_COMPARED_SERVERS = 8
-# Where connections are preferred, candidates are narrowed to servers with one only if these are as many.
+# If connections are preferred, candidates are narrowed to connected servers if there are at least this many.
 MIN_CONNECTED_SERVERS = MAX_COMPARED_SERVERS
-# With more servers ejected or warming up than this, as many are sampled instead of inspecting all of them.
+# With more servers ejected or warming up than this, a sample of this size is inspected instead of all.
 MAX_INSPECTED_SERVERS = 128
 
 
 class CandidateFilter:
-    """Finds the candidates of a request, without inspecting every server but for few of them."""
+    """Finds the candidates of a request, inspecting only few of the servers where possible."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         )
 
     def candidates(self, request: InFlightRequest) -> Sequence[ServerRecord]:
-        """The servers that an attempt of the request may go to, in the order of the list."""
+        """Return the servers that an attempt of the request may go to, in the order of the list."""
         may_have_run = request.first_server is not None
         if may_have_run and request.rule.idempotency is not Idempotency.SAFE:
             return self.within_scope(request)
@@ -56,10 +56,10 @@
         return self.within_index(request)
 
     def within_index(self, request: InFlightRequest) -> Sequence[ServerRecord]:
-        """The candidates among all servers, by inspecting only those that the index marks.
+        """Return the candidates among all servers, inspecting only those that the index marks.
 
-        Idle servers in slow start come first: a gateway shows a server little of its load, so a server
-        warming up would else stay idle beside warm ones that look as empty.
+        Idle servers in slow start come first: one gateway has few attempts in flight at any server, so a
+        server warming up would otherwise stay idle beside warm ones that look equally empty.
         """
         index = self.index
         excluded = self._excluded(request)
@@ -80,7 +80,7 @@
         return Without(index.up, [index.position(server) for server in unavailable if index.is_up(server)])
 
     def _excluded(self, request: InFlightRequest) -> set[ServerRecord]:
-        """The servers up that are excluded for a request; none where that would be all of them."""
+        """Return the servers up that are excluded for a request; none if that would exclude all of them."""
         index = self.index
         unhealthy = index.unhealthy_at(self.context.now_us) if index.unhealthy else ()
         inspected = [*unhealthy, *request.servers]
@@ -90,7 +90,7 @@
         return set() if len(excluded) == len(index.up) else excluded
 
     def within_sample(self, request: InFlightRequest) -> Sequence[ServerRecord]:
-        """The candidates among a random sample, where many servers are ejected or warming up."""
+        """Return the candidates in a random sample, for when many servers are ejected or warming up."""
         up = self.index.up
         sample = self.context.random.sample(up, min(MAX_INSPECTED_SERVERS, len(up)))
 
@@ -104,7 +104,7 @@
         return self._preferred(self._inspect(request, sample), connected)
 
     def within_scope(self, request: InFlightRequest) -> Sequence[ServerRecord]:
-        """The candidates for a retry that may not go to every server, by inspecting each of the few."""
+        """Return the candidates for a retry that may only go to some servers, inspecting each of them."""
         allowed = [server for server in self.index.up if self.is_in_scope(request, server)]
         available = self._inspect(request, allowed)
 
@@ -114,14 +114,14 @@
         return self._preferred(available, connected)
 
     def _inspect(self, request: InFlightRequest, servers: list[ServerRecord]) -> list[ServerRecord]:
-        """Those of the servers that are available and not excluded, or available where all are excluded."""
+        """Return the available servers that are not excluded, or all available ones if all are excluded."""
         not_excluded = [server for server in servers if not self.is_excluded(request, server)]
         return [server for server in not_excluded or servers if self.is_available(server)]
 
     def _preferred(
         self, available: list[ServerRecord], connected: Callable[[], list[ServerRecord]]
     ) -> list[ServerRecord]:
-        """Idle servers in slow start if any; else those with a connection if preferred; else all."""
+        """Return idle servers in slow start if any; else connected ones if preferred; else all available."""
         idle_warming = [
             server for server in available if self.slow_start.is_warming_up(server) and not server.in_flight
         ]
@@ -133,27 +133,27 @@
         return with_connection if len(with_connection) >= MIN_CONNECTED_SERVERS else available
 
     def is_excluded(self, request: InFlightRequest, server: ServerRecord) -> bool:
-        """Whether a request is not to go to a server while there are others that it may go to."""
+        """Return whether a request should avoid a server while there are others it may go to."""
         if self.outliers.is_ejected(server) or server in request.servers:
             return True
         is_unsafe = request.rule.idempotency is Idempotency.UNSAFE
         return server.needs_probe and (bool(server.in_flight) or is_unsafe)
 
     def is_available(self, server: ServerRecord) -> bool:
-        """Whether a server takes one more attempt, by what is in flight and by its slow start."""
+        """Return whether a server can take one more attempt, by its attempts in flight and its slow start."""
         if self.is_full(server):
             return False
         return not self.slow_start.is_warming_up(server) or self.slow_start.has_credit(server)
 
     def is_full(self, server: ServerRecord) -> bool:
-        """Whether as much is in flight at a server as it should queue."""
+        """Return whether a server has as many attempts in flight as it should queue."""
         return len(server.in_flight) >= self.max_in_flight
 
     def is_in_scope(self, request: InFlightRequest, server: ServerRecord) -> bool:
-        """Whether a server may be sent an attempt of a request that may have run.
+        """Return whether a server may be sent an attempt of a request that may have run.
 
-        A keyed request stays where its repeats are dropped, within the deduplication window of its first
-        attempt; an unsafe one is not repeated.
+        A keyed request may only go where its repeats are dropped, and only within the deduplication window of
+        its first attempt; an unsafe one is not repeated.
         """
         rule = request.rule
         first_server = request.first_server
--- a/orchidhatch/gateway/constants.py
+++ b/orchidhatch/gateway/constants.py
@@ -3,18 +3,18 @@
 from orchidhatch.gateway.times import S
 
 TICK_US = 20_000
-"""How often queued requests are looked at: a small part of any latency objective."""
+"""The interval at which queued requests are checked: a small fraction of any latency objective."""
 
 CALL_CONTROL_PERIOD_US = S
-"""CCperiod, of which a control period has one or more (Somoza, section 2)."""
+"""The paper's CCperiod, of which a control period has one or more (Somoza, section 2)."""
 
 MAX_CALL_CONTROL_PERIODS = 2
-"""Call control periods that a control period may have."""
+"""Maximum number of call control periods in a control period."""
 
 MAX_CONTROL_PERIOD_US = MAX_CALL_CONTROL_PERIODS * CALL_CONTROL_PERIOD_US
 
 ATTEMPTS_PER_SERVER = 8
-"""Attempts of all gateways per usable server: in flight at most, and admitted a second when N engages."""
+"""Attempts of all gateways per usable server: the limit in flight, and N per second when it engages."""
 
 MIN_IN_FLIGHT_LIMIT = 2
-"""A gateway's limit of attempts in flight is never lower, however many gateways share the servers."""
+"""Lower bound of a gateway's limit of attempts in flight, however many gateways share the servers."""
--- a/orchidhatch/gateway/core.py
+++ b/orchidhatch/gateway/core.py
@@ -1,4 +1,4 @@
-"""The decision core of one gateway: hands events to the components that they concern, and sets the timer."""
+"""The decision core of one gateway: dispatches events to its components, and schedules the timer."""
 
 import math
 from collections.abc import Callable
@@ -31,9 +31,9 @@
 
 
 class GatewayCore:
-    """One gateway's decisions: `handle` takes an event with its time, and returns the actions to carry out.
+    """Decides what one gateway does: `handle` takes an event and its time, and returns the actions.
 
-    It has no sockets and no clock. The same settings and events give the same actions.
+    It uses neither sockets nor a clock: the same settings and events always give the same actions.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -92,7 +92,7 @@
         self.handlers = self.event_handlers()
 
     def event_handlers(self) -> dict[type, Callable[[Any], None]]:
-        """The handler of each kind of event that the core acts on."""
+        """Return the handler of each event type that the core acts on."""
         return {
             events.Request: self.admission.on_request,
             events.AttemptEnded: self.attempts.on_attempt_ended,
@@ -121,7 +121,10 @@
         return self.context.settings
 
     def handle(self, now_us: int, event: events.Event) -> list[actions.Action]:
-        """Decide on an event; the time in microseconds never decreases, and unknown events do nothing."""
+        """Handle an event and return the resulting actions.
+
+        `now_us` must never decrease. Events of a type without a handler change nothing.
+        """
         context = self.context
         context.now_us = now_us
         context.actions = []
@@ -138,16 +141,16 @@
     # --- timers and control periods ---
 
     def set_timer(self) -> None:
-        """Ask for a timer where the next one comes too late."""
+        """Request a timer if the pending one would expire too late."""
         due_us = self.next_due_us()
         if due_us < self.timer_due_us:
             self.timer_due_us = due_us
             self.context.actions.append(actions.SetTimer(due_us - self.context.now_us, 0))
 
     def next_due_us(self) -> int:
-        """When time alone may change something, in a tick at the soonest.
+        """Return the next time at which work is due without an event, at least one tick from now.
 
-        Queued requests are looked at every tick; attempts in flight need no timer, as their ends are events.
+        Queued requests are checked every tick; attempts in flight need no timer, as their ends are events.
         """
         next_tick_us = self.context.now_us + TICK_US
         if self.queue.entries or self.quotas.slot_queues:
@@ -161,7 +164,7 @@
         return max(next_tick_us, math.ceil(min(dues_us)))
 
     def on_timer(self, _: events.TimerExpired) -> None:
-        """Do what is due by time; a timer that was replaced by an earlier one does nothing."""
+        """Do the work that is due; a timer that was replaced by an earlier one is ignored."""
         now_us = self.context.now_us
         if now_us < self.timer_due_us:
             return
@@ -186,21 +189,21 @@
     # --- events that concern several components ---
 
     def on_peer_message(self, event: events.PeerMessage) -> None:
-        """Learn from a peer's observations, and from its gossip if it goes by the same policy."""
+        """Record a peer's observations, and handle its gossip messages if it runs under the same policy."""
         self.outbox.tally[MESSAGES_RECEIVED] += 1
         self.learning.learn_from_peer(event.observations)
         if event.policy_mark == self.settings.policy_mark:
             self.quotas.on_messages(event.sender, event.messages, self.admission.on_grant_answer)
 
     def on_policy_change(self, event: events.PolicyChange) -> None:
-        """Put another policy in force."""
+        """Apply a new policy to the settings and to the customers' plans."""
         self.context.settings = event.applied_to(self.settings)
         self.quotas.change_plans(event.plan_moves)
 
     def on_metrics_request(self, _: events.MetricsRequest) -> None:
-        """Answer with the metrics."""
+        """Reply with a MetricsSnapshot."""
         self.context.actions.append(self.metrics.snapshot())
 
     def queues_unsent(self, customer: Customer) -> bool:
-        """Whether a request of the customer is queued here that was never sent."""
+        """Return whether a request of the customer that was never sent is queued here."""
         return self.queue.has_unsent(customer)
--- a/orchidhatch/gateway/decision_context.py
+++ b/orchidhatch/gateway/decision_context.py
@@ -8,11 +8,11 @@
 
 
 class DecisionContext:
-    """The settings, the random source, the event's time in microseconds and the actions decided on so far.
+    """The settings, the random source, the event's time in microseconds and the actions decided so far.
 
-    `has_handover_peer` says that a second process serves as this gateway too, while one takes over from the
-    other, `has_successor` that it takes over from this one; `peer_is_unknown` that there may be one whose
-    attempts are not known.
+    `has_handover_peer` says that a second process also serves as this gateway during a handover, and
+    `has_successor` that it takes over from this one. `peer_is_unknown` says that there may be such a process,
+    whose attempts are not known.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -26,6 +26,6 @@
         self.peer_is_unknown = False
 
     def send_to_handover_peer(self, message: HandoverMessage) -> None:
-        """Send the handover peer a message, if there is one."""
+        """Send a message to the handover peer, if there is one."""
         if self.has_handover_peer:
             self.actions.append(message)
--- a/orchidhatch/gateway/endpoints.py
+++ b/orchidhatch/gateway/endpoints.py
@@ -5,7 +5,7 @@
 
 
 class EndpointState(Enum):
-    """The lifecycle of a server by the endpoint list."""
+    """The lifecycle state of a server in the endpoint list."""
 
     UP = "up"
     DRAINING = "draining"
@@ -13,7 +13,7 @@
 
 
 class EndpointListKind(Enum):
-    """What an endpoint list event holds: the whole list, a cached one, changes, or that a call failed."""
+    """What an endpoint list event carries: the complete list, a cached one, changes, or a failed call."""
 
     FULL = "full"
     SAVED = "saved"
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """An entry of the endpoint list; `started_us` is when the server's process started, 0 if not known."""
+    """An entry of the endpoint list; `started_us` is when the server's process started, 0 if unknown."""
 
     name: str
     zone: int
--- a/orchidhatch/gateway/events.py
+++ b/orchidhatch/gateway/events.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """The complete endpoint list, changes to it, or that fetching it failed."""
+    """The complete endpoint list, changes to it, or a failure to fetch it."""
 
     kind: EndpointListKind
     version: int
@@ -30,12 +30,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A client's request, which the gateway owes one final answer from now on.
+    """A client's request, which the gateway has to answer exactly once.
 
     `time_left_us` is the time to its deadline, `units` its cost in units of quota. The customer's quota is
     shared by `set_size` gateways from the index `set_first` on. `size_bytes` is the memory that the gateway
-    needs for the request until it has ended, `unread_us` the time before this event for which it may have
-    lain unread: its objective counts from then.
+    needs for the request until it has ended. `unread_us` is how long it may have waited unread before this
+    event; its latency objective includes that time.
     """
 
     id: str
@@ -64,9 +64,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """How an attempt ended; one for each SendAttempt. `is_final` says that its client has its answer.
+    """The end of an attempt; one for each SendAttempt.
 
-    `actual_units` is the cost as it turned out, 0 where it is not known; `report` the server's load report.
+    `is_final` says that its client has received the answer. `actual_units` is the actual cost in units, 0 if
+    unknown; `report` is the server's load report.
     """
 
     id: str
@@ -82,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientGone:
-    """The client has gone; it is owed no answer any more."""
+    """The client has disconnected and needs no answer any more."""
 
     id: str
 
@@ -106,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """Gossip of another gateway; `policy_mark` identifies the policy that its amounts go by, 0 none."""
+    """Gossip from another gateway; `policy_mark` identifies the policy that it runs under, 0 for none."""
 
     sender: int
     messages: tuple[GossipMessage, ...]
@@ -134,10 +135,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicyChange:
-    """Other plans, latency objectives and bans are in force from now on.
+    """New plans, latency objectives and bans, in force from now on.
 
-    `plan_moves` has for each earlier plan its new index, -1 for one that is gone. Requests that have
-    arrived keep the rules of their class.
+    `plan_moves` has the new index of each earlier plan, -1 for a plan that was removed. Requests that have
+    already arrived keep the rules of their class.
     """
 
     classes: tuple[RequestClass, ...]
@@ -147,7 +148,7 @@
     plan_moves: tuple[int, ...]
 
     def applied_to(self, settings: Settings) -> Settings:
-        """The settings under the new policy."""
+        """Return the settings under the new policy."""
         return replace(
             settings,
             classes=self.classes,
@@ -159,7 +160,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SuspendAdmission:
-    """Suspends admission, as the gateway's policy lease has lapsed, or resumes it."""
+    """Admission is suspended, as the gateway's policy lease has lapsed, or resumed."""
 
     is_suspended: bool
 
@@ -171,7 +172,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HandoverPeerUnknown:
-    """A second process may serve as this gateway until a HandoverPeerGone; its attempts are not known."""
+    """A second process, whose attempts are not known, may serve as this gateway until a HandoverPeerGone."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/orchidhatch/gateway/expected_cost.py
+++ b/orchidhatch/gateway/expected_cost.py
@@ -15,7 +15,7 @@
 
 LOAD_REPORT_TTL_US = 1.5 * S
 MIN_MEAN_LOAD = 0.01
-# What a price of 1 for attempts to other zones adds to the factor.
+# Added to the zone factor by a cross-zone price of 1.
 CROSS_ZONE_COST = 10
 
 
@@ -37,7 +37,7 @@
         self.slow_start = slow_start
 
     def of(self, server: ServerRecord) -> float:
-        """The expected cost of an attempt at the server now; 0 where a recovery probe is due."""
+        """Return the expected cost of an attempt at the server now; 0 if a recovery probe is due."""
         connection_cost = self.affinity.connection_cost(server)
         queue_length = 0 if server.needs_probe else len(server.in_flight) + 1
         fault_cost = self.outliers.fault_cost(server)
@@ -48,9 +48,9 @@
         return wait * zone_cost * recovery_cost / self.slow_start.weight(server)
 
     def load_cost(self, server: ServerRecord) -> float:
-        """The factor of the load that a server reports; 1 without a recent report.
+        """Return the cost factor of a server's reported load; 1 without a recent report.
 
-        Half of it follows the load over the mean.
+        Half of the factor is constant, the other half is proportional to the load over the mean.
         """
         load = server.reported_load
         if load is None or self.context.now_us - server.load_reported_us >= LOAD_REPORT_TTL_US:
@@ -58,7 +58,7 @@
         return 0.5 + load / max(MIN_MEAN_LOAD, self.averages.mean_load) / 2
 
     def zone_cost(self, server: ServerRecord) -> float:
-        """The factor of an attempt that crosses zones: 1 within the gateway's own."""
+        """Return the cost factor for crossing zones; 1 within the gateway's own zone."""
         settings = self.context.settings
         is_cross_zone = server.endpoint.zone != settings.zone
         return 1 + CROSS_ZONE_COST * settings.cross_zone_price * is_cross_zone
--- a/orchidhatch/gateway/handover.py
+++ b/orchidhatch/gateway/handover.py
@@ -1,7 +1,7 @@
 """Handover: two processes act as one gateway while the successor takes over from the predecessor.
 
-The predecessor hands over a snapshot. From then on each process tells the other what it spends and which
-attempts it has in flight, so that quotas, ceilings and limits hold for both together.
+The predecessor hands over a snapshot. From then on each process informs the other of its spending and its
+attempts in flight, so that quotas, rate ceilings and limits apply to both together.
 """
 
 from collections.abc import Iterable
@@ -33,7 +33,7 @@
 
 
 class PeerAttempt(NamedTuple):
-    """An attempt that the other process has in flight; no server where it is not listed here."""
+    """An attempt that the other process has in flight; `server` is None if it is not listed here."""
 
     customer: Customer
     server: ServerRecord | None
@@ -55,7 +55,7 @@
         self.membership = membership
         self.quotas = quotas
         self.overload = overload
-        # By request and attempt number.
+        # By request id and attempt number.
         self.in_flight: dict[tuple[str, int], PeerAttempt] = {}
 
     # --- the snapshot ---
@@ -77,7 +77,7 @@
             customer.hand_over_unreported()
 
     def on_snapshot(self, snapshot: GatewaySnapshot) -> None:
-        """Take over the predecessor's snapshot; both processes read the same clock."""
+        """Restore the predecessor's snapshot; both processes read the same clock."""
         self.context.has_handover_peer = True
         restore_overload(self.overload, snapshot.overload)
         restore_servers(self.balancer, snapshot)
@@ -96,12 +96,12 @@
         self.quotas.customers[snapshot.key] = customer
         customer.restore_at(snapshot, self.context.now_us)
 
-    # --- what the other process does ---
+    # --- spending and attempts of the other process ---
 
     def on_spend(self, event: HandoverSpend) -> None:
-        """Take units that the other process has spent from the customer's quota.
+        """Charge the customer's quota for units that the other process has spent.
 
-        The successor reports them: here, or where they were spent.
+        The successor reports them to the quota leader, whichever of the two processes spent them.
         """
         if self.quotas.is_in_set(event.key):
             customer = self.quotas.customer(event.key)
@@ -112,7 +112,7 @@
                 customer.grant_requests.restore(grant)
 
     def on_attempt(self, event: HandoverAttempt) -> None:
-        """Count an attempt of the other process against ceilings, limits and slow start, once."""
+        """Count an attempt of the other process, once, against rate ceilings, limits and slow start."""
         name = (event.id, event.attempt)
         if not self.quotas.is_in_set(event.key) or name in self.in_flight:
             return
@@ -129,7 +129,7 @@
             server.credit -= 1
 
     def on_attempt_end(self, event: HandoverAttemptEnd) -> None:
-        """Count an attempt of the other process as in flight no more, if it was."""
+        """Count an attempt of the other process as no longer in flight, if it was."""
         name = (event.id, event.attempt)
         if name not in self.in_flight:
             return
@@ -139,17 +139,17 @@
         if attempt.server:
             self.balancer.attempt_ended(attempt.server, name)
 
-    # --- whether there is another process ---
+    # --- presence of the other process ---
 
     def on_unknown(self, _: HandoverPeerUnknown) -> None:
-        """Another process may exist: send nothing that it might count against the same rate ceiling."""
+        """Hold back requests under a rate ceiling, as another process may be using it up."""
         self.context.peer_is_unknown = True
 
     def on_gone(self, _: HandoverPeerGone) -> None:
-        """The other process has ended, and its attempts with it.
+        """Handle the end of the other process, which ends its attempts too.
 
-        Where it was to take over, what was left to it to report is reported here, if that is possible yet.
-        If it was unknown it may have used up every rate ceiling, so all of them start from empty.
+        If it was the successor, this process reports what was left for it to report, if still possible. If it
+        was unknown, it may have used up every rate ceiling, so all of them restart empty.
         """
         self.context.has_handover_peer = False
         if self.context.has_successor:
@@ -162,7 +162,7 @@
             self.on_attempt_end(HandoverAttemptEnd(request_id, attempt))
 
     def take_back_reports(self) -> None:
-        """Report here again, in streams of its own: the successor may have gone on with the former ones."""
+        """Resume reporting in new report streams, as the successor may have continued the previous ones."""
         self.context.has_successor = False
         for customer in self.quotas.customers.values():
             customer.take_back_unreported()
--- a/orchidhatch/gateway/handover_codec.py
+++ b/orchidhatch/gateway/handover_codec.py
@@ -1,8 +1,8 @@
-"""What two processes of a handover send each other, as JSON can hold it: records as lists of their fields.
+"""The encoding of handover messages as JSON-compatible values: each record is a list of its fields.
 
-Lists have to be complete, so that a field that is added later has a default and goes beside the list of its
-record, by its name. The version before does not look for it. Only records that are not within others can
-have such fields.
+The lists must be complete. A field that is added later therefore has a default, and is encoded by name beside
+the list of its record, where the previous version does not look for it. Only top-level records can have such
+fields.
 """
 
 import math
@@ -20,11 +20,11 @@
 )
 
 TEXT_LIMIT = 256
-"""Characters of one text."""
+"""Maximum characters of one text."""
 ROWS_LIMIT = 100_000
-"""Items of one list."""
+"""Maximum items of one list."""
 WHOLE_LIMIT = 1 << 63
-"""Of a whole number, either way."""
+"""Exclusive bound of the absolute value of an integer."""
 
 MESSAGE_KINDS: dict[str, type[HandoverMessage]] = {
     "TwinSpend": HandoverSpend,
@@ -32,20 +32,20 @@
     "TwinEnd": HandoverAttemptEnd,
     "TwinMaint": HandoverEjection,
 }
-"""The messages between the two processes by their names on the wire, those of an earlier version."""
+"""The messages between the two processes by wire name; the names are those of an earlier version."""
 
 MESSAGE_NAMES = {kind: name for name, kind in MESSAGE_KINDS.items()}
 
 
 def to_plain(value: object) -> object:
-    """A record as a list of its fields without default, and so on within; other values as they are."""
+    """Return a record as a list of its fields without default, recursively; other values unchanged."""
     if is_dataclass(value):
         return [to_plain(getattr(value, field.name)) for field in fields(value) if not is_optional(field)]
     return [to_plain(item) for item in value] if isinstance(value, tuple) else value
 
 
-def from_plain(kind: Any, value: object) -> Any:  # noqa: ANN401 - it gives whatever kind is asked for
-    """The reverse of `to_plain`; a ValueError where a value is not of its field's kind."""
+def from_plain(kind: Any, value: object) -> Any:  # noqa: ANN401 - returns whatever type is requested
+    """Reverse `to_plain`. Raises ValueError if a value is not of its field's type."""
     if kind is float and is_number(value) and math.isfinite(value):
         return float(value)
     if kind is int and type(value) is int and abs(value) < WHOLE_LIMIT:
@@ -65,14 +65,14 @@
 
 
 def optional_to_plain(record: Any) -> dict[str, object]:  # noqa: ANN401 - any record
-    """The fields that have another value than their default, by name."""
+    """Return the fields whose value differs from their default, by name."""
     optional = [field for field in fields(record) if is_optional(field)]
     values = [(field, getattr(record, field.name)) for field in optional]
     return {field.name: to_plain(value) for field, value in values if value != field.default}
 
 
 def from_plain_with_optional(kind: Any, value: object, optional: Mapping[str, object]) -> Any:  # noqa: ANN401
-    """The reverse of `to_plain` and `optional_to_plain`; names that are not known here are ignored."""
+    """Reverse `to_plain` and `optional_to_plain`; unknown names are ignored."""
     record = from_plain(kind, value)
     kinds = optional_kinds(kind)
     return replace(
@@ -81,18 +81,18 @@
 
 
 def is_optional(field: "Field[Any]") -> bool:
-    """Whether a field is later than its record, and so has a default."""
+    """Return whether a field was added to its record later, and so has a default."""
     return field.default is not MISSING
 
 
 def is_number(value: object) -> TypeGuard[int | float]:
-    """Whether a value is a number; a bool is none."""
+    """Return whether a value is a number; a bool is not."""
     return type(value) in (int, float)
 
 
 @cache
 def field_kinds(kind: type) -> tuple[Any, ...]:
-    """The types of a record's fields, in order; of a dataclass those without default."""
+    """Return the types of a record's fields, in order; of a dataclass only those without default."""
     hints = get_type_hints(kind)
     optional = optional_kinds(kind) if is_dataclass(kind) else {}
     return tuple([hint for name, hint in hints.items() if name not in optional])
@@ -100,6 +100,6 @@
 
 @cache
 def optional_kinds(kind: type) -> dict[str, Any]:
-    """The types of the fields with a default, by name."""
+    """Return the types of the fields with a default, by name."""
     hints = get_type_hints(kind)
     return {field.name: hints[field.name] for field in fields(kind) if is_optional(field)}
--- a/orchidhatch/gateway/handover_spending.py
+++ b/orchidhatch/gateway/handover_spending.py
@@ -1,4 +1,4 @@
-"""What a gateway's process tells the other one of a handover about its customers' spending."""
+"""Messages between the two processes of a handover about the spending of customers."""
 
 from collections.abc import Callable
 
@@ -9,9 +9,9 @@
 
 
 class HandoverSpending:
-    """Keeps the other process's buckets up to date; a successor reports the spending of both.
+    """Keeps the other process's quota buckets up to date; a successor reports the spending of both.
 
-    `is_known` says whether a customer was not forgotten since.
+    `is_known` returns whether a customer has not been forgotten since.
     """
 
     def __init__(self, context: DecisionContext, is_known: Callable[[Customer], bool]) -> None:
@@ -19,7 +19,7 @@
         self.is_known = is_known
 
     def share_spend(self, customer: Customer, units: float) -> None:
-        """Tell the other process what was spent here; a successor reports it."""
+        """Send the other process what was spent here; a successor reports it."""
         if not self.is_known(customer):
             return
         counted = 0.0
@@ -28,12 +28,12 @@
         self.context.send_to_handover_peer(HandoverSpend(customer.key, units, counted))
 
     def share_correction(self, customer: Customer) -> None:
-        """Leave a successor to report what the leader has counted too much, or too little."""
+        """Leave it to a successor to report what the leader has counted in excess, or too little."""
         if self.context.has_successor and customer.quota.unreported_spend:
             self.share_spend(customer, 0.0)
 
     def share_answer(self, customer: Customer, grant: GrantRequest) -> None:
-        """Tell a successor what an answer has said, as it may get a further answer to the same request."""
+        """Send a successor the result of an answer, as it may get another one to the same grant request."""
         if self.context.has_successor:
             counted = -customer.quota.hand_over_unreported()
             answered = (grant.snapshot(customer.key),)
--- a/orchidhatch/gateway/handover_state.py
+++ b/orchidhatch/gateway/handover_state.py
@@ -1,4 +1,4 @@
-"""The snapshot that a process hands over to its successor: taken from the components, and restored."""
+"""Takes the snapshot that a process hands over to its successor, and restores it."""
 
 import math
 from collections.abc import Collection, Iterable, Iterator, Mapping
@@ -23,16 +23,16 @@
 from orchidhatch.gateway.spent_totals import ReceivedTotal, StreamPosition
 
 GRANT_REQUESTS_LIMIT = 10_000
-"""How many grant requests are handed over, the latest ones; some 80 bytes each."""
+"""Maximum number of grant requests handed over, the latest ones; about 80 bytes each."""
 
 COUNTED_GRANTS_LIMIT = 10_000
-"""How many grants that were counted for other gateways are handed over, the latest ones."""
+"""Maximum number of grants counted for other gateways that are handed over, the latest ones."""
 
 REPORT_STREAMS_LIMIT = 10_000
-"""How many streams of reports are handed over, those of the customers that were seen last."""
+"""Maximum number of report streams handed over, those of the customers seen last."""
 
 RECEIVED_TOTALS_LIMIT = 10_000
-"""How many totals of other gateways' reports are handed over, the latest ones."""
+"""Maximum number of spent totals of other gateways handed over, the latest ones."""
 
 
 def take_snapshot(
@@ -61,7 +61,7 @@
 
 
 def snapshot_overload(overload: OverloadController, balancer: LoadBalancer) -> OverloadSnapshot:
-    """Return the overload controller's state, with the usual rate that slow start goes by."""
+    """Return the overload controller's state, with the usual rate that slow start uses."""
     return OverloadSnapshot(
         admission_limit=overload.admission_limit or 0,
         admitted=overload.admitted_this_period,
@@ -74,7 +74,7 @@
 
 
 def attempts_in_flight(requests: Iterable[InFlightRequest]) -> Iterator[HandoverAttempt]:
-    """Yield the attempts in flight; the customers' snapshots have charged their units already."""
+    """Yield the attempts in flight, without units, which the customers' snapshots include already."""
     for request in requests:
         for number, sent_us in request.attempts.items():
             yield HandoverAttempt(
@@ -88,7 +88,7 @@
 
 
 def latest_grant_requests(customers: Iterable[Customer], now_us: int) -> tuple[GrantRequestSnapshot, ...]:
-    """The customers' grant requests whose numbers are in use, the oldest first."""
+    """Return the customers' grant requests whose grant numbers are in use, the oldest first."""
     requests = [
         grant.snapshot(customer.key)
         for customer in customers
@@ -99,7 +99,7 @@
 
 
 def latest_counted_grants(customers: Iterable[Customer], now_us: int) -> tuple[CountedGrantSnapshot, ...]:
-    """The grants that were counted for other gateways and may be requested again, the oldest first."""
+    """Return the grants counted for other gateways that may be requested again, the oldest first."""
     grants = [
         CountedGrantSnapshot(
             key=customer.key,
@@ -117,7 +117,7 @@
 
 
 def latest_report_streams(customers: Iterable[Customer]) -> tuple[ReportStreamSnapshot, ...]:
-    """The customers' streams of reports, in the order of the customers."""
+    """Return the customers' report streams, in the order of the customers."""
     streams = [
         ReportStreamSnapshot(customer.key, *customer.report_stream.position)
         for customer in customers
@@ -127,7 +127,7 @@
 
 
 def latest_received_totals(customers: Iterable[Customer]) -> tuple[ReceivedTotalSnapshot, ...]:
-    """The newest totals of other gateways' reports, the oldest first."""
+    """Return the latest spent totals received from other gateways, the oldest first."""
     totals = [
         ReceivedTotalSnapshot(customer.key, peer, *total)
         for customer in customers
@@ -138,7 +138,7 @@
 
 
 def restore_totals(customers: Mapping[CustomerKey, Customer], snapshot: GatewaySnapshot) -> None:
-    """Go on with the predecessor's streams of reports, and from the totals that it has counted."""
+    """Continue the predecessor's report streams, and count on from the spent totals that it received."""
     for stream in snapshot.report_streams:
         customer = customers.get(stream.key)
         if customer:
@@ -154,7 +154,7 @@
 
 
 def restore_grants(customers: Mapping[CustomerKey, Customer], snapshot: GatewaySnapshot) -> None:
-    """Restore the predecessor's grant requests, and what it counted: messages about them may come here."""
+    """Restore the predecessor's grant requests and counted grants, as messages may refer to them."""
     for request in snapshot.grant_requests:
         customer = customers.get(request.key)
         if customer:
@@ -167,7 +167,7 @@
 
 
 def restore_overload(overload: OverloadController, snapshot: OverloadSnapshot) -> None:
-    """Put the overload controller into the state of the snapshot."""
+    """Restore the overload controller's state from the snapshot."""
     overload.admission_limit = snapshot.admission_limit or None
     overload.period_limit = math.floor(snapshot.admission_limit)
     overload.admitted_this_period = snapshot.admitted
@@ -178,9 +178,9 @@
 
 
 def restore_servers(balancer: LoadBalancer, snapshot: GatewaySnapshot) -> None:
-    """Restore what the predecessor had learnt of the servers that are listed here too."""
+    """Restore the predecessor's state of the servers that are listed here too."""
     balancer.slow_start.usual_rate = snapshot.overload.usual_attempts_per_s
-    # The predecessor may have run under settings with other classes.
+    # The predecessor may have run with different request classes.
     if len(snapshot.mean_latencies_us) == len(balancer.mean_us):
         balancer.mean_us = list(snapshot.mean_latencies_us)
     for server_snapshot in snapshot.servers:
--- a/orchidhatch/gateway/in_flight.py
+++ b/orchidhatch/gateway/in_flight.py
@@ -9,7 +9,7 @@
 
 
 class InFlightRequest:
-    """A request that has arrived, its attempts, and its times in microseconds; `rule` is its class."""
+    """An arrived request, its attempts, and its times in microseconds; `rule` is its request class."""
 
     def __init__(self, request: Request, rule: RequestClass, customer: Customer, now_us: int) -> None:
         self.id = request.id
@@ -25,25 +25,25 @@
         self.objective_us = min(sent_us + rule.latency_objective_us, self.deadline_us)
         # The servers of all attempts so far, in order.
         self.servers: list[ServerRecord] = []
-        # When each attempt in flight was sent, by its number.
+        # When each attempt in flight was sent, by attempt number.
         self.attempts: dict[int, int] = {}
-        # The first server that may have run it, and when it was sent there.
+        # The first server that may have run the request, and when it was sent there.
         self.first_server: ServerRecord | None = None
         self.first_sent_us = 0
         # Attempts that are known not to have run.
         self.unrun_attempts = 0
-        # No answer is owed any more: given, or the client has gone.
+        # No answer is due any more: it was sent, or the client has disconnected.
         self.is_answered = False
         self.is_in_quota = False
         self.is_streaming = False
-        # Since when it waits, for a grant of its quota or to be sent.
+        # When its current wait, for a quota grant or to be sent, began.
         self.queued_us = now_us
-        # When its quota is decided on without a grant; NEVER while it awaits none.
+        # When it is decided without a grant; NEVER unless it awaits one.
         self.decide_at_us = NEVER
         self.grant: GrantRequest | None = None
 
     def may_reject(self) -> bool:
-        """Whether a client that retries after a rejection cannot have its request run twice."""
+        """Return whether a client's retry after a rejection cannot make the request run twice."""
         idempotency = self.rule.idempotency
         has_key = idempotency is Idempotency.KEYED and self.rule.dedup_scope is DeduplicationScope.ALL
         return self.first_server is None or idempotency is Idempotency.SAFE or has_key
--- a/orchidhatch/gateway/load_balancing.py
+++ b/orchidhatch/gateway/load_balancing.py
@@ -1,8 +1,8 @@
-"""Load balancing: chooses the server of each attempt, and passes what attempts show on to its components.
+"""Load balancing: chooses the server of each attempt, and updates its components with the results.
 
-The components: candidates (which servers an attempt may go to), expected_cost (how candidates compare),
-connection_affinity, outlier_detection, slow_start and attempt_averages. DESIGN leaves the choice of server
-and its health to the implementation.
+The components are candidates (which servers an attempt may go to), expected_cost (how candidates compare),
+connection_affinity, outlier_detection, slow_start and attempt_averages. DESIGN leaves the choice and the
+health of servers to the implementation.
 """
 
 from orchidhatch.gateway.attempt_averages import AttemptAverages
@@ -20,9 +20,9 @@
 
 
 class LoadBalancer:
-    """The listed servers and the choice among those that may be sent new work.
+    """The listed servers, and the choice among those that may be sent new work.
 
-    What is true of few servers is kept in `index`; no request inspects all of them.
+    `index` tracks the states that apply to few servers, so that no request inspects all of them.
     """
 
     def __init__(self, context: DecisionContext) -> None:
@@ -40,7 +40,7 @@
         self.expected_cost = ExpectedCost(
             context, self.averages, self.affinity, self.outliers, self.slow_start
         )
-        # The servers up, each counted with its slow-start weight.
+        # The number of servers up, each counted by its slow-start weight.
         self.warm = 0.0
 
     @property
@@ -50,7 +50,7 @@
 
     @property
     def mean_us(self) -> list[float]:
-        """The mean latency of each request class in microseconds."""
+        """The mean latency of each request class, in microseconds."""
         return self.averages.mean_latencies_us
 
     @mean_us.setter
@@ -58,12 +58,12 @@
         self.averages.mean_latencies_us = mean_latencies_us
 
     def count_warm(self) -> None:
-        """Count the servers up, one that is warming up with its slow-start weight."""
+        """Count the servers up, each by its slow-start weight."""
         warming = self.index.in_order(self.index.warming_at(self.context.now_us))
         self.warm = len(self.up) - len(warming) + sum(map(self.slow_start.weight, warming))
 
     def end_period(self, attempts_per_s: float, period_us: int) -> None:
-        """End a control period of that length, with its mean rate of first attempts."""
+        """Update scores and rates after a control period with that rate of first attempts."""
         for server in list(self.index.decaying):
             self.averages.decay(server)
             self.outliers.decay(server)
@@ -75,32 +75,32 @@
     # --- attempts ---
 
     def choose(self, request: InFlightRequest) -> ServerRecord | None:
-        """The cheapest of a few random candidates for an attempt; None where there is no candidate."""
+        """Return the cheapest of a few random candidates for an attempt; None if there is no candidate."""
         candidates = self.candidate_filter.candidates(request)
         count = min(MAX_COMPARED_SERVERS, len(candidates))
         compared = self.context.random.sample(candidates, count)
         return min(compared, key=self.expected_cost.of, default=None)
 
     def attempt_began(self, server: ServerRecord, name: tuple[str, int], sent_us: int) -> None:
-        """Count an attempt, named by its request and number, as in flight at the server."""
+        """Count an attempt, identified by its request id and number, as in flight at the server."""
         server.in_flight[name] = sent_us
         if self.is_listed(server):
             self.index.busy[server] = None
 
     def attempt_ended(self, server: ServerRecord, name: tuple[str, int]) -> None:
-        """Count the attempt as in flight no more, if it was."""
+        """Count the attempt as no longer in flight, if it was."""
         server.in_flight.pop(name, None)
         if not server.in_flight:
             self.index.busy.pop(server, None)
 
     def is_listed(self, server: ServerRecord) -> bool:
-        """Whether the index may hold the server: attempts may end at one that has left the list."""
+        """Return whether the index may hold the server: attempts may end at one that has left the list."""
         return self.servers.get(server.endpoint.name) is server
 
-    # --- what attempts show ---
+    # --- results of attempts ---
 
     def learn(self, server: ServerRecord, class_index: int, event: AttemptEnded, load: float | None) -> None:
-        """Take in how an attempt of this gateway ended, and the load that the server reported with it."""
+        """Record the result of an attempt of this gateway, and the load that the server reported with it."""
         now_us = self.context.now_us
         result = event.result
         latency_us = event.latency_us
@@ -119,7 +119,7 @@
             self.index.unhealthy[server] = None
 
     def observe(self, server: ServerRecord, class_index: int, succeeded: bool, latency_us: float) -> None:
-        """Take in how an attempt of any gateway ended, for the server's fault score and slow start."""
+        """Update the server's fault score and slow start with the result of any gateway's attempt."""
         mean_us = self.averages.reference_latency_us(class_index)
         self.outliers.observe(server, latency_us / mean_us if succeeded else MAX_FAULT_SCORE)
         if succeeded:
@@ -128,7 +128,7 @@
             self.index.decaying[server] = None
 
     def _record_result(self, server: ServerRecord, result: AttemptResult, latency_us: int) -> None:
-        """Take in a result of this gateway's attempt for outlier detection."""
+        """Record the result of this gateway's attempt for outlier detection."""
         if result is AttemptResult.REJECTED:
             self.outliers.record_rejection(server)
         elif result is AttemptResult.OK:
@@ -138,6 +138,6 @@
             self.slow_start.record_failure(server)
 
     def _answered_others(self, server: ServerRecord, result: AttemptResult, latency_us: int) -> bool:
-        """Whether an attempt timed out while the server answered others, which is no sign of a fault."""
+        """Return whether the attempt timed out while the server answered others, which shows no fault."""
         began_us = self.context.now_us - latency_us
         return result is AttemptResult.TIMEOUT and server.last_answer_us >= began_us
--- a/orchidhatch/gateway/membership.py
+++ b/orchidhatch/gateway/membership.py
@@ -1,4 +1,4 @@
-"""Membership: the listed servers, by the endpoint list and by the operators' ejections."""
+"""Membership: which servers are listed and up, by the endpoint list and the operators' ejections."""
 
 from orchidhatch.gateway.actions import EjectionResult, Subscribe
 from orchidhatch.gateway.bounded_map import forget_excess
@@ -9,32 +9,32 @@
 from orchidhatch.gateway.server_record import ServerRecord
 from orchidhatch.gateway.snapshots import HandoverEjection
 
-# Lists that name only what has changed; after a failed call the previous list holds.
+# Events without a complete list; after a failed call the previous list stays valid.
 PARTIAL_LISTS = (EndpointListKind.CHANGES, EndpointListKind.FAILED)
-# Lists after which a gateway that has to subscribe to changes is without a subscription.
+# Events that show that the gateway is not subscribed to changes.
 UNSUBSCRIBED_LISTS = (EndpointListKind.SAVED, EndpointListKind.FAILED)
-# Servers that are remembered after the list has said that they are gone.
+# Records kept of servers that the list has marked as gone.
 MAX_GONE_SERVERS = 64
-# Names that are remembered as once listed, and so at most the servers ejected by operators.
+# Names remembered as once listed, which also bounds the servers ejected by operators.
 MAX_KNOWN_NAMES = 4096
 
 
 class Membership:
-    """Keeps the servers that the load balancer may choose from, as the list and the operators say."""
+    """Updates the load balancer's servers from the endpoint list and the operators' ejections."""
 
     def __init__(self, context: DecisionContext, balancer: LoadBalancer) -> None:
         self.context = context
         self.balancer = balancer
         self.last_serial = 0
-        # Servers that are gone by the list, the first to go first.
+        # Servers that the list has marked as gone, the first one first.
         self.gone: dict[str, None] = {}
-        # Names that were ever listed, and whether an operator has ejected the server.
+        # Whether an operator has ejected the server, by the name of each server that was ever listed.
         self.names: dict[str, bool] = {}
 
     # --- the endpoint list ---
 
     def on_list(self, event: EndpointList) -> None:
-        """Apply an endpoint list or changes to it, and subscribe to changes where that is due."""
+        """Apply an endpoint list or changes to it, and subscribe to changes if necessary."""
         if self.context.settings.must_subscribe and event.kind in UNSUBSCRIBED_LISTS:
             self.context.actions.append(Subscribe(True))
         if event.kind not in PARTIAL_LISTS:
@@ -47,14 +47,14 @@
         self.balancer.count_warm()
 
     def _remove_unlisted(self, endpoints: tuple[Endpoint, ...]) -> None:
-        """Forget the servers that a complete list does not name."""
+        """Remove the servers that are missing from a complete list."""
         listed = {endpoint.name for endpoint in endpoints}
         unlisted = [name for name in self.balancer.servers if name not in listed]
         for name in unlisted:
             self._remove(name)
 
     def _limit_gone(self, endpoint: Endpoint) -> None:
-        """Remember a bounded number of servers that are gone, as one of them may return."""
+        """Keep the records of a bounded number of servers that are gone, as a server may return."""
         self.gone.pop(endpoint.name, None)
         if endpoint.state is EndpointState.GONE:
             self.gone[endpoint.name] = None
@@ -62,7 +62,7 @@
             self._remove(next(iter(self.gone)))
 
     def _add(self, endpoint: Endpoint) -> None:
-        """Add or update a listed server; one that has started anew gets a new record."""
+        """Add or update a listed server; a restarted server gets a new record."""
         server = self.balancer.servers.get(endpoint.name)
         if server is None or server.endpoint.started_us != endpoint.started_us:
             server = self._create(endpoint, server)
@@ -70,7 +70,7 @@
         self._update(server)
 
     def _create(self, endpoint: Endpoint, predecessor: ServerRecord | None) -> ServerRecord:
-        """Create a record, at the list position of the server's earlier record if there is one."""
+        """Create a record, in the list position of the server's previous record if there is one."""
         server = ServerRecord(endpoint)
         self.balancer.servers[endpoint.name] = server
         self.balancer.slow_start.randomize_credit(server)
@@ -83,7 +83,7 @@
         return server
 
     def _remove(self, name: str) -> None:
-        """Forget a server that has left the list; attempts in flight there still end."""
+        """Remove a server that has left the list; its attempts in flight continue."""
         self.gone.pop(name, None)
         server = self.balancer.servers.pop(name, None)
         if server:
@@ -99,7 +99,7 @@
     # --- ejections by operators ---
 
     def on_set_ejection(self, event: SetEjection) -> None:
-        """Eject or readmit a server as an operator says, tell the handover peer and report the result."""
+        """Eject or readmit a server for an operator, notify the handover peer and report the result."""
         is_known = event.server in self.names
         if is_known:
             self.set_ejection(event)
@@ -107,7 +107,7 @@
         self.context.actions.append(EjectionResult(event.server, event.is_ejected, is_known))
 
     def set_ejection(self, event: SetEjection | HandoverEjection) -> None:
-        """Eject a server whatever the list says, or readmit it by a recovery probe and a slow start."""
+        """Eject a server regardless of the list, or readmit it by a recovery probe and a slow start."""
         if self.names.get(event.server, False) == event.is_ejected:
             return
         self.names[event.server] = event.is_ejected
@@ -121,7 +121,7 @@
         self.balancer.count_warm()
 
     def restore_ejections(self, ejections: tuple[HandoverEjection, ...]) -> None:
-        """Take over the ejections by operators from a predecessor's snapshot."""
+        """Restore the operators' ejections from a predecessor's snapshot."""
         self.names.update((ejection.server, ejection.is_ejected) for ejection in ejections)
         forget_excess(self.names, MAX_KNOWN_NAMES, self.balancer.servers)
         for server in self.balancer.servers.values():
--- a/orchidhatch/gateway/metric_names.py
+++ b/orchidhatch/gateway/metric_names.py
@@ -17,7 +17,7 @@
 }
 
 AWAITING_GRANT_NAME = "word"
-"""What a request that awaits a grant of its quota waits for; no request is rejected for that."""
+"""The name of the wait for a quota grant; it is never a reason for a rejection."""
 
 DECISION_SOURCE_NAMES = {
     QuotaDecisionSource.LOCAL_SHARE: "part",
@@ -38,7 +38,7 @@
 
 
 def end_reason_name(reason: EndReason) -> str:
-    """The name of the reason for which a request ended unserved."""
+    """Return the name of the reason for which a request ended unserved."""
     if isinstance(reason, AttemptResult):
         return reason.value
     return REJECTION_REASON_NAMES[reason]
--- a/orchidhatch/gateway/metrics.py
+++ b/orchidhatch/gateway/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of the decision core: the periodic log line, wait times and the snapshot; decides nothing."""
+"""The metrics of the decision core: the log line, wait times and the snapshot. Has no decision logic."""
 
 from collections import Counter
 
@@ -20,7 +20,7 @@
 
 
 class MetricsReporter:
-    """Reads the components' state and counters; starts the counters' next period with each log line."""
+    """Reads the components' state and counters, and resets the counters with each log line."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
     # --- the log line ---
 
     def log_lines(self) -> list[LogLine]:
-        """The periodic log line where it is due, which begins the next period; else nothing."""
+        """Return the periodic log line if it is due, and reset its counters; else return an empty list."""
         now_us = self.context.now_us
         if now_us - self.counters.logged_us < LOG_INTERVAL_US:
             return []
@@ -53,7 +53,7 @@
         return [line]
 
     def summary_text(self) -> str:
-        """The admission limit, what is in flight and queued, and why requests were ended."""
+        """Return the log line: the admission limit, requests in flight and queued, and why requests ended."""
         overload = self.overload
         counters = self.counters
         messages = self.outbox.tally
@@ -70,12 +70,12 @@
         )
 
     def limit_text(self) -> str:
-        """The admission limit and the length of its period."""
+        """Return the text of the admission limit and the length of its period."""
         limit = self.overload.admission_limit
         return "lifted" if limit is None else f"{limit:.1f}/{self.overload.period_length_us // S}s"
 
     def queued_text(self) -> str:
-        """What the queued requests that were never sent wait for, beside a server and the admission limit."""
+        """Return the text of how many unsent requests wait for concurrency slots and rate ceilings."""
         never_sent = [request for request in self.queue if not request.servers]
         at_slots = sum(request.customer.lacks_slot(self.context.now_us) for request in never_sent)
         at_ceiling = sum(request.customer.lacks_ceiling_units(request.units) for request in never_sent)
@@ -84,7 +84,7 @@
     # --- the snapshot ---
 
     def snapshot(self) -> MetricsSnapshot:
-        """The metrics now; servers count as ejected by an operator or by outlier detection."""
+        """Return the metrics now; servers ejected by operators and by outlier detection count as ejected."""
         now_us = self.context.now_us
         outbox = self.outbox
         states = [server.endpoint.state for server in self.balancer.servers.values()]
@@ -104,14 +104,14 @@
         )
 
     def count_outliers(self) -> int:
-        """How many servers outlier detection has ejected."""
+        """Return the number of servers that outlier detection has ejected."""
         index = self.balancer.index
         return len(index.in_order(index.unhealthy_at(self.context.now_us)))
 
     # --- wait times ---
 
     def wait_times(self) -> list[WaitTimes]:
-        """How long requests have waited here since the last call, summed, by what they waited for."""
+        """Return how long requests have waited since the last call, summed by what they waited for."""
         now_us = self.context.now_us
         since_us = self.counters.waits_counted_us
         self.counters.waits_counted_us = now_us
@@ -122,13 +122,13 @@
         return [WaitTimes(tuple(sorted(waited_us.items())))] if waited_us else []
 
     def wait_name(self, request: InFlightRequest) -> str:
-        """What a waiting request waits for, by the names of the reasons for which requests end."""
+        """Return what a waiting request waits for, by the name of the rejection reason if there is one."""
         if request.decide_at_us < NEVER:
             return AWAITING_GRANT_NAME
         return end_reason_name(self.wait_reason(request))
 
     def wait_reason(self, request: InFlightRequest) -> RejectionReason:
-        """What a queued request waits for, as its customer's state was last refilled."""
+        """Return what a queued request waits for, by its customer's state at the last refill."""
         if request.servers:
             return RejectionReason.SERVER_FOR_RETRY
         if request.customer.lacks_slot(self.context.now_us):
@@ -139,5 +139,5 @@
 
 
 def counts_text(counts: Counter[str]) -> str:
-    """Counts by name as `name=count`, sorted; "-" for none."""
+    """Return counts by name as `name=count`, sorted; "-" for none."""
     return " ".join(f"{name}={count}" for name, count in sorted(counts.items())) or "-"
--- a/orchidhatch/gateway/outlier_detection.py
+++ b/orchidhatch/gateway/outlier_detection.py
@@ -1,9 +1,10 @@
 """Outlier detection: which servers are ejected, for how long, and how they are readmitted.
 
-Two scores say how a server serves. The fault score is learnt from the attempts of all gateways and makes a
-server cost more; the failure score counts the failures of this gateway's attempts and ejects it. An ejection
-ends with a recovery probe, one attempt whose success readmits the server; for a while after that the server
-costs more (recovery ramp). DESIGN leaves the health of servers to the implementation.
+Each server has two scores. The fault score is derived from the attempts of all gateways and raises the
+server's expected cost; the failure score counts the failures of this gateway's attempts and triggers its
+ejection. An ejection ends with a recovery probe: one attempt whose success readmits the server. For a while
+after that its expected cost is raised (recovery ramp). DESIGN leaves the health of servers to the
+implementation.
 """
 
 from orchidhatch.gateway.attempt_averages import SAMPLE_WEIGHT
@@ -15,13 +16,13 @@
 NEUTRAL_FAULT_SCORE = 1.0
 MIN_FAULT_SCORE = 0.25
 MAX_FAULT_SCORE = 4.0
-# Below it a score is within chance: all gateways know the same, and would flood the server that seems best.
+# Lower scores may be random: all gateways see the same ones, and would flood the server that seems best.
 TOLERATED_FAULT_SCORE = 1.5
-# Two failures in a row, or a mix with more failures than answers.
+# Reached by two failures in a row, or by a mix with more failures than answers.
 EJECTION_FAILURE_SCORE = 1.7
 MIN_EJECTION_US = S
 MAX_EJECTION_US = 8 * S
-# A server that had no capacity for an attempt is full for about a service time.
+# A server without capacity for an attempt stays full for about one service time.
 REJECTION_EJECTION_US = 300_000
 RECOVERY_RAMP_US = 8 * S
 FULL_RECOVERY_COST = 2
@@ -36,36 +37,39 @@
     # --- scores ---
 
     def observe(self, server: ServerRecord, fault_sample: float) -> None:
-        """Take in an attempt of any gateway: its latency over the mean, or MAX_FAULT_SCORE for a failure."""
+        """Update the fault score with an attempt of any gateway.
+
+        `fault_sample` is its latency over the mean, or MAX_FAULT_SCORE for a failure.
+        """
         sample = min(MAX_FAULT_SCORE, max(MIN_FAULT_SCORE, fault_sample))
         server.fault_score = decay_towards(server.fault_score, sample, SAMPLE_WEIGHT)
 
     def decay(self, server: ServerRecord) -> None:
-        """Move a server's fault score towards neutral, so that an avoided one is used again in time."""
+        """Move a server's fault score towards neutral, so that an avoided server is used again eventually."""
         server.fault_score = decay_towards(server.fault_score, NEUTRAL_FAULT_SCORE, SAMPLE_WEIGHT)
 
     def record_success(self, server: ServerRecord) -> None:
-        """Take in a success of this gateway's attempt; it readmits a server that needs a recovery probe."""
+        """Record a success of this gateway's attempt; it readmits a server that needs a recovery probe."""
         server.failure_score = server.failure_score / 2
         if server.needs_probe:
             self._readmit(server)
 
     def record_failure(self, server: ServerRecord) -> None:
-        """Take in a failure of any kind of this gateway's attempt; it may eject the server."""
+        """Record a failure of this gateway's attempt; it may eject the server."""
         server.failure_score = server.failure_score + 1
         is_outlier = server.failure_score >= EJECTION_FAILURE_SCORE or server.needs_probe
         if is_outlier and not self.is_ejected(server):
             self._eject(server)
 
     def record_rejection(self, server: ServerRecord) -> None:
-        """Eject a server that had no capacity for an attempt for a short while, without a recovery probe."""
+        """Briefly eject a server that had no capacity for an attempt; it needs no recovery probe."""
         until_us = self.context.now_us + REJECTION_EJECTION_US
         server.ejected_until_us = max(server.ejected_until_us, until_us)
 
     # --- ejection and recovery ---
 
     def is_ejected(self, server: ServerRecord) -> bool:
-        """Whether a server is sent nothing, not even a recovery probe."""
+        """Return whether a server is sent nothing, not even a recovery probe."""
         return self.context.now_us < server.ejected_until_us
 
     def _eject(self, server: ServerRecord) -> None:
@@ -80,7 +84,7 @@
         server.recovered_us = self.context.now_us
 
     def require_probe(self, server: ServerRecord) -> None:
-        """End any ejection and readmit the server by a recovery probe that is due now."""
+        """End any ejection, and require a recovery probe, due at once, before the server is readmitted."""
         server.ejected_until_us = 0
         server.ejection_us = 0
         server.failure_score = 0.0
@@ -89,14 +93,14 @@
     # --- cost factors ---
 
     def fault_cost(self, server: ServerRecord) -> float:
-        """The factor by which a server's fault score raises its expected cost: 1 or more."""
+        """Return the factor, at least 1, by which a server's fault score raises its expected cost."""
         return max(1.0, server.fault_score / TOLERATED_FAULT_SCORE) ** 2
 
     def recovery_cost(self, server: ServerRecord) -> float:
-        """The factor by which a recent recovery raises the expected cost: from 2 down to 1.
+        """Return the factor, from 2 down to 1, by which a recent recovery raises the expected cost.
 
-        It only makes others preferred. A limit would leave requests without a server where many recover at
-        the same time.
+        It only makes other servers preferred. A hard limit would leave requests without a server when many
+        servers recover at the same time.
         """
         recovered = min(1.0, (self.context.now_us - server.recovered_us) / RECOVERY_RAMP_US)
         return FULL_RECOVERY_COST - recovered
--- a/orchidhatch/gateway/overload.py
+++ b/orchidhatch/gateway/overload.py
@@ -1,8 +1,9 @@
 """Overload control: limits new requests per control period (Somoza, section 2).
 
-The control period is the paper's OPPUI, of one or two of its call control periods. N is the limit on
-admissions (first attempts) in a control period, NA their number. The signals that stand for occupancy, and
-that N is lifted in light traffic, are the DESIGN's; each gateway has its share of N for all.
+The control period is the paper's OPPUI and consists of one or two call control periods. N is the limit on
+admissions (first attempts) in a control period, NA their number. Two rules are from DESIGN, not the paper:
+the signals that stand in for occupancy, and that N is lifted in light traffic. Each gateway enforces its
+share of the N of all gateways.
 """
 
 import math
@@ -21,32 +22,32 @@
 from orchidhatch.gateway.times import S
 
 RATE_SMOOTHING = 0.3
-"""Weight of the last period in the running mean of the rate of admissions."""
+"""Weight of the last period in the moving average of the admission rate."""
 
 ADMISSIONS_PER_PERIOD = 10
-"""Where fewer are admitted in a call control period, the control period is made longer."""
+"""With fewer admissions in a call control period, the control period is lengthened."""
 
 MAX_INCREASE_PER_S = 0.2
-"""max.increase: the largest rise of N, as a fraction a second."""
+"""max.increase: the largest increase of N, as a fraction per second."""
 
 MAX_DECREASE_PER_S = 0.1
-"""max.decrease: the largest fall of N, as a fraction a second."""
+"""max.decrease: the largest decrease of N, as a fraction per second."""
 
 ADDL_DECREMENT_PER_S = 0.1
-"""addl.decrement: the further fall of N at occ.too.high, as a fraction a second."""
+"""addl.decrement: the additional decrease of N at occ.too.high, as a fraction per second."""
 
 MIN_FRACTION_CALLS = 0.75
-"""min.fraction.calls: at a lower fraction of N, and below min.occup, N is not updated."""
+"""min.fraction.calls: with NA at a lower fraction of N, and occupancy below min.occup, N is not updated."""
 
 ROUNDING_TOLERANCE = 1e-9
-"""Floating-point error that N may have where it is an integer."""
+"""Floating-point error tolerated in N before it is rounded down."""
 
 
 class OccupancySignal(Enum):
     """What occupancy is inferred from (DESIGN, signal).
 
-    UTILIZATION is how much of their cores the servers report busy; LATENCY the latency of attempts over the
-    latency objective of their class, at most 1.
+    UTILIZATION is the busy fraction of their cores that servers report; LATENCY is the latency of attempts
+    divided by the latency objective of their class, at most 1.
     """
 
     UTILIZATION = auto()
@@ -64,7 +65,7 @@
 
 TARGETS = {
     OccupancySignal.UTILIZATION: OccupancyTargets(max_occup=0.92, occ_too_high=0.97, min_occup=0.75),
-    # Lower, as latencies spread: with a mean of half the objective, some attempts miss it.
+    # Lower, as latencies vary: with a mean of half the objective, some attempts miss it.
     OccupancySignal.LATENCY: OccupancyTargets(max_occup=0.5, occ_too_high=0.7, min_occup=0.35),
 }
 
@@ -72,16 +73,16 @@
 class OverloadController:
     """Limits first attempts per control period, and attempts in flight at all times.
 
-    `admission_limit` is this gateway's share of N before it is rounded, None while N is lifted,
-    `period_limit` the limit of this period. `occupancy` is the last one inferred, `overhead` the lowest in
-    light traffic, both as fractions; `rate` is the mean number of admissions a second.
+    `admission_limit` is this gateway's share of N before rounding, None while N is lifted; `period_limit` is
+    the rounded limit of this period. `occupancy` is the last inferred value and `overhead` the lowest one in
+    light traffic, both as fractions; `admissions_per_s` is the moving average of the admission rate.
     """
 
     def __init__(self, context: DecisionContext) -> None:
         self.context = context
         self.admission_limit: float | None = None
         self.period_limit = 0
-        # What rounding down has left for the next period; gateways start with different remainders.
+        # Carries over what rounding down has cut off; random at first, so that gateways round up in turn.
         self.limit_remainder = context.random.random()
         self.occupancy = 0.0
         self.overhead = 1.0
@@ -93,14 +94,15 @@
         self.samples: dict[OccupancySignal, list[float]] = no_samples()
 
     def observe(self, signal: OccupancySignal, occupancy: float) -> None:
-        """Count a sample of the occupancy in this period."""
+        """Add an occupancy sample to this period."""
         self.samples[signal].append(occupancy)
 
     def may_admit(self, warm_servers: float) -> bool:
-        """Whether one more first attempt may be sent now; a server in slow start counts as its warm part.
+        """Return whether one more first attempt may be sent now.
 
-        Admissions are spread over the period. Attempts in flight are limited without N too, as servers that
-        hold too many may not recover for long.
+        `warm_servers` counts a server in slow start by its slow-start weight. Admissions are spread over the
+        period. Attempts in flight are limited even while N is lifted, as servers with too many of them may
+        take long to recover.
         """
         elapsed_us = self.context.now_us - self.period_start_us + TICK_US
         elapsed = min(1.0, elapsed_us / self.period_length_us)
@@ -113,16 +115,16 @@
         return self.admitted_this_period < math.ceil(self.period_limit * elapsed)
 
     def end_period(self) -> None:
-        """End the control period, and count its admissions into the rate."""
+        """End the control period, and update the admission rate."""
         self.period_start_us += self.period_length_us
         period_rate = self.admitted_this_period * S / self.period_length_us
         weight = RATE_SMOOTHING if self.rate else 1
         self.rate += weight * (period_rate - self.rate)
 
     def begin_period(self, servers: int, overdue_ages: Callable[[], Iterable[float]]) -> None:
-        """Set the length and the limit of the next control period by what the last one showed.
+        """Set the length and the limit of the next control period from the results of the last one.
 
-        `servers` is the number that may be sent new work, `overdue_ages` what `update` takes.
+        `servers` is the number of servers that may be sent new work; `overdue_ages` is passed to `update`.
         """
         self.update(self.admitted_this_period, servers, overdue_ages)
         last_length_us = self.period_length_us
@@ -136,7 +138,7 @@
     def round_limit(self, n: float) -> None:
         """Round N down for the next period, and keep the remainder for the one after (section 2, step 3).
 
-        The share of one gateway of many is small: without the remainder, rounding alone would decide it.
+        With many gateways each one's share is small: without the remainder, rounding would determine it.
         """
         with_remainder = n + self.limit_remainder
         self.period_limit = math.floor(with_remainder)
@@ -145,8 +147,8 @@
     def update(self, na_past: float, servers: int, overdue_ages: Callable[[], Iterable[float]]) -> None:
         """Update N, lift it in light traffic, or engage it (section 2; DESIGN, signal).
 
-        `overdue_ages` gives the ages of attempts that take longer than usual, as occupancies: while servers
-        answer nobody, no latency is observed. N is not lifted while it is in full use: that would flood
+        `overdue_ages` returns the ages of attempts that take longer than usual, as occupancies: while servers
+        answer nothing, no latency is observed. N is not lifted while it is fully used, as that would flood
         servers that have just recovered.
         """
         has_reports = bool(self.samples[OccupancySignal.UTILIZATION])
@@ -164,7 +166,7 @@
             self.overhead = min(self.overhead, occup_past)
             self.admission_limit = None
             return
-        # N is that of all gateways, so that rounding it down matters less.
+        # Compute the N of all gateways, so that rounding it down matters less.
         gateways = self.context.settings.gateway_count
         seconds = self.period_length_us / S
         n_past = self.admission_limit
@@ -177,18 +179,18 @@
         self.admission_limit = n_of_all / gateways
 
     def has_few_admissions(self, na_past: float) -> bool:
-        """Whether fewer were admitted than the fraction of N at which N is of use."""
+        """Return whether N is lifted, or too little of it was used for it to have an effect."""
         return self.admission_limit is None or na_past < MIN_FRACTION_CALLS * self.admission_limit
 
     def first_limit(self, na_past: float, servers: int) -> float:
-        """N of this gateway when it engages: a few attempts per server, but no less than were admitted."""
+        """Return this gateway's initial N: a few attempts per server, but at least the past admissions."""
         gateways = self.context.settings.gateway_count
         attempts = ATTEMPTS_PER_SERVER * servers * self.period_length_us // S // gateways
         return max(1, attempts, round(na_past))
 
 
 def no_samples() -> dict[OccupancySignal, list[float]]:
-    """The samples of a period that has begun."""
+    """Return the empty sample lists of a new period."""
     return {signal: [] for signal in OccupancySignal}
 
 
@@ -200,7 +202,7 @@
     targets: OccupancyTargets,
     seconds: float = 1.0,
 ) -> int:
-    """N for the next control period by the paper's algorithm (section 2, steps 1 to 3), at least 1.
+    """Return N for the next control period by the paper's algorithm (section 2, steps 1 to 3), at least 1.
 
     `n_past` and `na_past` are N and the admissions of the last period, which lasted `seconds`; the other
     arguments are fractions.
@@ -209,7 +211,7 @@
         return n_past
     lowest = n_past * (1 - MAX_DECREASE_PER_S) ** seconds
     highest = n_past * (1 + MAX_INCREASE_PER_S) ** seconds
-    if occup_past <= overhead:  # Ours: step 1 has no solution.
+    if occup_past <= overhead:  # Not in the paper: step 1 has no solution.
         n_prelim = highest
     else:
         n_prelim = (targets.max_occup - overhead) / (occup_past - overhead) * na_past
--- a/orchidhatch/gateway/reasons.py
+++ b/orchidhatch/gateway/reasons.py
@@ -1,4 +1,4 @@
-"""Why requests end unserved, and what the decisions on their quota go by."""
+"""Why requests end unserved, and what decisions on their quota are based on."""
 
 from enum import Enum, auto
 
@@ -6,7 +6,7 @@
 
 
 class RejectionReason(Enum):
-    """Why the gateway ended a request of its own accord; the second half says what it waited for in vain."""
+    """Why the gateway itself ended a request; the second group names what an expired request waited for."""
 
     ADMISSION_SUSPENDED = auto()
     CUSTOMER_BANNED = auto()
@@ -26,11 +26,12 @@
 
 
 class QuotaDecisionSource(Enum):
-    """What a decision on a request's quota went by.
+    """What a decision on a request's quota was based on.
 
-    LOCAL_SHARE is the local share of the burst; LEADER the whole set's state, kept here; EARLIER_ANSWER what
-    the quota leader last answered; NO_ANSWER local state only, as it has not answered of late; GRANT_ANSWER
-    its answer to the request's own question; ANSWER_TIMEOUT local state, as no such answer came in time.
+    LOCAL_SHARE is the local share of the burst; LEADER the state of the whole gateway set, kept here;
+    EARLIER_ANSWER the quota leader's latest answer; NO_ANSWER local state only, as the leader has not
+    answered recently; GRANT_ANSWER the answer to the request's own grant request; ANSWER_TIMEOUT local state,
+    as that answer did not arrive in time.
     """
 
     LOCAL_SHARE = auto()
--- a/orchidhatch/gateway/request_completion.py
+++ b/orchidhatch/gateway/request_completion.py
@@ -1,4 +1,4 @@
-"""How requests end: rejected, failed, answered, or given up by their clients."""
+"""How requests end: rejected, failed, answered, or abandoned by their clients."""
 
 from orchidhatch.gateway.actions import CancelAttempt, Fail, Reject
 from orchidhatch.gateway.decision_context import DecisionContext
@@ -12,7 +12,7 @@
 
 
 class RequestCompletion:
-    """Ends requests: answers the client, gives back unused quota and cancels what is in flight."""
+    """Ends requests: answers the client, refunds unused quota and cancels attempts in flight."""
 
     def __init__(
         self,
@@ -40,14 +40,14 @@
         self.release(request)
 
     def on_client_gone(self, event: ClientGone) -> None:
-        """The client has left: nothing is owed to it."""
+        """Release the request of a client that has disconnected."""
         request = self.requests.get(event.id)
         if request is not None:
             self.release(request)
             self.quotas.return_soon(request.customer)
 
     def release(self, request: InFlightRequest) -> None:
-        """Close the request, and forget it unless attempts are still in flight."""
+        """Close the request, and remove it unless attempts are still in flight."""
         if not request.servers and not request.is_answered:
             self.refund_quota(request)
         may_cancel = self.context.settings.may_cancel and not request.is_answered
@@ -58,6 +58,6 @@
             self.requests.remove(request)
 
     def refund_quota(self, request: InFlightRequest) -> None:
-        """Give back the quota that was spent on a request that no server was sent."""
+        """Refund the quota spent on a request that was sent to no server."""
         if request.is_in_quota:
             self.quotas.spend(request.customer, -request.units)
--- a/orchidhatch/gateway/request_counters.py
+++ b/orchidhatch/gateway/request_counters.py
@@ -7,13 +7,13 @@
 
 
 class RequestCounters:
-    """Counts by the names of the metrics, since the start and since the last log line."""
+    """Counts by metric name, since the process started and since the last log line."""
 
     def __init__(self) -> None:
         self.ended: Counter[str] = Counter()
         self.ended_since_log: Counter[str] = Counter()
         self.decided_since_log: Counter[str] = Counter()
-        # The ages of the answers that EARLIER_ANSWER decisions went by, summed.
+        # The summed ages of the answers that EARLIER_ANSWER decisions were based on.
         self.answer_age_us_since_log = 0
         self.logged_us = -1
         self.waits_counted_us = 0
@@ -31,7 +31,7 @@
             self.answer_age_us_since_log += answer_age_us
 
     def start_log_period(self, now_us: int) -> None:
-        """Clear what counts since the last log line."""
+        """Reset the counts since the last log line."""
         self.ended_since_log.clear()
         self.decided_since_log.clear()
         self.answer_age_us_since_log = 0
--- a/orchidhatch/gateway/request_queue.py
+++ b/orchidhatch/gateway/request_queue.py
@@ -1,4 +1,4 @@
-"""The requests that wait to be sent: their order, how long they may wait, and which may go now."""
+"""The queue of requests that wait to be sent: its order, expiry, and which requests may be sent now."""
 
 import itertools
 from bisect import insort
@@ -17,26 +17,26 @@
 from orchidhatch.gateway.times import NEVER
 
 QueueEntry = tuple[float, int, InFlightRequest]
-"""Priority weight, negated, number of arrival in the queue, request: sorts in the order of sending."""
+"""Negated priority weight, sequence number in the queue, request: sorts in the order of sending."""
 
 MIN_LATENCIES_LEFT_ON_ARRIVAL = 0.5
-"""A request that arrives with less time to its latency objective, in mean latencies, is rejected."""
+"""A request that arrives with fewer mean latencies left to its latency objective is rejected."""
 
 MIN_LATENCIES_LEFT_IN_QUEUE = 2.0
-"""The same for a queued request; more, as else all that wait long would be sent just too late."""
+"""The same for a queued request; higher, or all requests that wait long would be sent just too late."""
 
 MAX_OBJECTIVE_SHARE_LEFT = 1 / 2
 """No request is rejected while more than this share of its latency objective is left."""
 
 MIN_TICKS_TO_DEADLINE = 2
-"""A request that has less time to its deadline is ended while the answer can still reach its client."""
+"""A request with less time to its deadline is ended, while the answer can still reach its client."""
 
 
 class RequestQueue:
     """Queued requests, highest priority weight first, then by arrival (DESIGN).
 
-    Each waits for an admission under the overload control's limit, a concurrency slot and units under the
-    rate ceiling of its customer, and a server; one that was sent before waits for a server only.
+    Each waits for admission under overload control's limit, for its customer's concurrency slots and rate
+    ceiling, and for a server; a request that was sent before waits for a server only.
     """
 
     def __init__(
@@ -61,25 +61,25 @@
         return len(self.entries)
 
     def __iter__(self) -> Iterator[InFlightRequest]:
-        """The queued requests in the order of sending."""
+        """Iterate over the queued requests in the order of sending."""
         return (request for _, _, request in self.entries)
 
     def has_unsent(self, customer: Customer) -> bool:
-        """Whether a request of the customer is queued that was never sent."""
+        """Return whether a request of the customer that was never sent is queued."""
         return any(request.customer is customer and not request.servers for request in self)
 
     def enqueue(self, request: InFlightRequest) -> None:
-        """Add a request behind those of its priority."""
+        """Add a request behind those of the same priority."""
         request.queued_us = self.context.now_us
         request.decide_at_us = NEVER
         insort(self.entries, (-request.priority, next(self.serials), request))
 
     def has_admission_capacity(self) -> bool:
-        """Whether overload control admits one more first attempt now."""
+        """Return whether overload control admits one more first attempt now."""
         return self.overload.may_admit(self.balancer.warm)
 
     def dequeue(self) -> None:
-        """Send what may be sent now, in order."""
+        """Send the requests that may be sent now, in order."""
         queued = self.entries
         if not queued or not self.has_admission_capacity():
             return
@@ -101,7 +101,7 @@
             is_blocked = is_blocked or not self.has_admission_capacity()
 
     def must_wait(self, request: InFlightRequest, is_blocked: bool) -> bool:
-        """Whether the request lacks more than a server; `is_blocked` says that no first attempt may go."""
+        """Return whether the request lacks more than a server; `is_blocked` bars all first attempts."""
         if request.servers:
             return False
         return is_blocked or self.quotas.needs_slot(request.customer, request.units)
@@ -109,15 +109,15 @@
     # --- expiry ---
 
     def expire(self) -> None:
-        """End the queued requests that have waited too long, and drop those that have ended."""
+        """End the queued requests that have waited too long, and drop those that have already ended."""
         self.entries = [
             entry for entry in self.entries if not self.end_if_late(entry[2], MIN_LATENCIES_LEFT_IN_QUEUE)
         ]
 
     def end_if_late(self, request: InFlightRequest, min_latencies_left: float) -> bool:
-        """Whether the request has ended; it is ended here if its objective or deadline is out of reach.
+        """End the request if its objective or deadline is out of reach; return whether it has ended.
 
-        The objective counts only for a request whose client may retry it (`InFlightRequest.may_reject`).
+        The objective matters only if the client may retry the request (`InFlightRequest.may_reject`).
         """
         if request.is_answered:
             return True
@@ -134,7 +134,7 @@
         return True
 
     def expiry_reason(self, request: InFlightRequest) -> RejectionReason:
-        """What the request waited for until it was too late."""
+        """Return what the request was waiting for when it expired."""
         now_us = self.context.now_us
         if request.servers:
             return RejectionReason.SERVER_FOR_RETRY
@@ -147,7 +147,7 @@
         return self.limit_reason()
 
     def limit_reason(self) -> RejectionReason:
-        """What a request waits for that lacks nothing of its customer's."""
+        """Return what a request waits for that has a concurrency slot and is under its rate ceiling."""
         if self.has_admission_capacity():
             return RejectionReason.SERVER
         return RejectionReason.ADMISSION_LIMIT
--- a/orchidhatch/gateway/request_registry.py
+++ b/orchidhatch/gateway/request_registry.py
@@ -7,9 +7,9 @@
 
 
 class RequestRegistry:
-    """The in-flight requests by id; *open* are those that are still owed an answer.
+    """The in-flight requests by id; those whose clients still wait for an answer are *open*.
 
-    A request whose client was answered or has gone stays registered until its last attempt has ended.
+    A request that is no longer open stays registered until its last attempt has ended.
     """
 
     def __init__(self, context: DecisionContext) -> None:
@@ -25,24 +25,24 @@
         return iter(self.by_id.values())
 
     def get(self, request_id: str) -> InFlightRequest | None:
-        """The request of that id, if it is in flight."""
+        """Return the request with that id; None if it is not in flight."""
         return self.by_id.get(request_id)
 
     def has_capacity_for(self, size_bytes: int) -> bool:
-        """Whether one more request of so many bytes may be open; limits of 0 are none."""
+        """Return whether one more request of that size may be open; a limit of 0 means unlimited."""
         settings = self.context.settings
         if 0 < settings.max_open_requests <= self.open_count:
             return False
         return settings.max_open_bytes <= 0 or settings.max_open_bytes - self.open_bytes >= size_bytes
 
     def add(self, request: InFlightRequest) -> None:
-        """Register a request that has arrived; it is open."""
+        """Register a request that has arrived, as open."""
         self.by_id[request.id] = request
         self.open_count += 1
         self.open_bytes += request.size_bytes
 
     def close(self, request: InFlightRequest) -> None:
-        """Note that the request is owed no answer any more."""
+        """Mark the request as no longer open."""
         if request.is_answered:
             return
         request.is_answered = True
@@ -50,5 +50,5 @@
         self.open_bytes -= request.size_bytes
 
     def remove(self, request: InFlightRequest) -> None:
-        """Remove a request that no attempt is in flight for."""
+        """Remove a request that has no attempts in flight."""
         self.by_id.pop(request.id, None)
--- a/orchidhatch/gateway/retries.py
+++ b/orchidhatch/gateway/retries.py
@@ -1,4 +1,4 @@
-"""Attempt timeouts, and whether a further attempt may follow a failed one."""
+"""Attempt timeouts, and the conditions for retrying a failed attempt."""
 
 from orchidhatch.gateway.attempts import AttemptResult
 from orchidhatch.gateway.decision_context import DecisionContext
@@ -7,23 +7,23 @@
 from orchidhatch.gateway.settings import Idempotency
 
 FREE_RETRIES = (AttemptResult.CONNECT_FAILED, AttemptResult.LOCAL_FAILURE)
-"""Results of attempts that no server has seen: their retries add no load and cost no budget."""
+"""Results of attempts that reached no server: their retries add no load and cost no budget."""
 
 RETRIES_PER_REQUEST = 0.1
-"""Retries that the budget gains with each request's first attempt."""
+"""Retries that each first attempt adds to the budget."""
 
 MAX_RETRY_BUDGET = 8.0
-"""Retries that may be saved up."""
+"""Upper bound of the budget, in retries."""
 
 MIN_TIMEOUT_LATENCIES = 8
-"""An attempt is given up early only after so many mean latencies: before, it may just be a large one."""
+"""The shortest early timeout in mean latencies: until then the request may just be a large one."""
 
 LATENCIES_FOR_ANOTHER_ATTEMPT = 2
-"""Mean latencies that an attempt given up early leaves to the next one before the latency objective."""
+"""Mean latencies that an early timeout leaves for another attempt before the latency objective."""
 
 
 class RetryPolicy:
-    """Limits retries to a budget in proportion to first attempts, so that they cannot add to an overload."""
+    """Limits retries to a budget in proportion to first attempts, so that they cannot worsen an overload."""
 
     def __init__(self, context: DecisionContext, balancer: LoadBalancer) -> None:
         self.context = context
@@ -31,16 +31,16 @@
         self.budget = MAX_RETRY_BUDGET / 2
 
     def earn(self) -> None:
-        """A request's first attempt is sent: the budget grows."""
+        """Add a first attempt's contribution to the budget."""
         self.budget = min(MAX_RETRY_BUDGET, self.budget + RETRIES_PER_REQUEST)
 
     def spend(self, result: AttemptResult) -> None:
-        """An attempt that ended so is retried: the budget shrinks."""
+        """Charge the budget for a retry after an attempt with that result."""
         if result not in FREE_RETRIES:
             self.budget -= 1
 
     def may_retry(self, request: InFlightRequest, result: AttemptResult) -> bool:
-        """Whether a further attempt may follow one that ended so."""
+        """Return whether another attempt may follow one with that result."""
         if result is AttemptResult.NOT_SENT:
             return False
         half_latency_us = self.mean_latency_us(request) / 2
@@ -51,9 +51,9 @@
         return len(request.servers) < self.context.settings.max_attempts
 
     def timeout_us(self, request: InFlightRequest) -> int:
-        """The timeout of the attempt that is being sent, in microseconds.
+        """Return the timeout of the attempt that is being sent, in microseconds.
 
-        It ends with the request's deadline, or earlier where another attempt may follow and can still meet
+        It lasts to the request's deadline, or ends earlier if another attempt may follow and can still meet
         the latency objective.
         """
         now_us = self.context.now_us
@@ -67,10 +67,10 @@
         return max(1, min(until_deadline_us, early_us))
 
     def start_within_us(self, request: InFlightRequest) -> int:
-        """The time in which the attempt has to be written, in microseconds; 0 for no limit.
+        """Return the time within which the attempt must be written, in microseconds; 0 for no limit.
 
-        An attempt that may repeat another by its idempotency key must reach the server within the
-        deduplication window, though it may have to wait for a connection.
+        An attempt that may repeat an earlier one under its idempotency key must reach the server within the
+        deduplication window, even if it has to wait for a connection.
         """
         is_keyed = request.rule.idempotency is Idempotency.KEYED
         if not is_keyed or request.first_server is None:
@@ -78,5 +78,5 @@
         return max(1, request.first_sent_us + request.rule.dedup_window_us - self.context.now_us)
 
     def mean_latency_us(self, request: InFlightRequest) -> float:
-        """The mean latency of attempts of the request's class."""
+        """Return the mean latency of attempts of the request's class, in microseconds."""
         return self.balancer.mean_us[request.class_index]
--- a/orchidhatch/gateway/retry_after.py
+++ b/orchidhatch/gateway/retry_after.py
@@ -1,4 +1,4 @@
-"""When a rejected client may retry."""
+"""Retry-After delays of rejected requests."""
 
 from orchidhatch.gateway.decision_context import DecisionContext
 from orchidhatch.gateway.in_flight import InFlightRequest
@@ -9,7 +9,7 @@
 
 
 class RetryAfter:
-    """The Retry-After delays of rejections: in how long there should be capacity for the request."""
+    """Computes Retry-After delays from the expected wait until there is capacity for a request."""
 
     def __init__(
         self, context: DecisionContext, balancer: LoadBalancer, overload: OverloadController
@@ -19,18 +19,18 @@
         self.overload = overload
 
     def delay_us(self, request: InFlightRequest, reason: EndReason) -> int:
-        """The delay in microseconds, at most the settings' `max_retry_after_us`.
+        """Return the delay in microseconds, at most the settings' `max_retry_after_us`.
 
-        It is one to two times the expected wait for capacity, at random, as clients that were rejected
-        together would else retry together. It is never less: a retry before that gains nothing.
+        It is one to two times the expected wait for capacity, at random, so that clients that were rejected
+        together do not retry together. It is never less, as an earlier retry gains nothing.
         """
         max_us = self.context.settings.max_retry_after_us
         return round(min(max_us, self.capacity_wait_us(request, reason) * (1 + self.context.random.random())))
 
     def capacity_wait_us(self, request: InFlightRequest, reason: EndReason) -> float:
-        """In how long there should be capacity for what the request lacked; NEVER if none is in sight."""
+        """Return the expected wait for the capacity the request lacked, in microseconds; NEVER if unknown."""
         customer = request.customer
-        if self.overload.admission_limit is not None:  # Requests queue for the admission limit already.
+        if self.overload.admission_limit is not None:  # Requests already queue for the admission limit.
             return NEVER
         if reason is RejectionReason.TOO_MANY_OPEN_REQUESTS:
             return self.balancer.mean_us[request.class_index]
@@ -38,4 +38,4 @@
             return customer.quota_wait_us(request.units, self.context.now_us)
         if not request.servers and customer.lacks_ceiling_units(request.units):
             return customer.ceiling_wait_us(request.units)
-        return self.overload.period_length_us  # Slots and servers' capacity change within a period.
+        return self.overload.period_length_us  # Slots and server capacity change within a period.
--- a/orchidhatch/gateway/server_index.py
+++ b/orchidhatch/gateway/server_index.py
@@ -1,7 +1,8 @@
-"""An index of the listed servers by the states that matter to the choice among them.
+"""An index of the listed servers by the states that matter to load balancing.
 
-A gateway may have thousands of servers and chooses one for each attempt, so the few that are in some state
-(busy, ejected, warming up, answered lately) are kept as that changes, not searched for. It decides nothing.
+A gateway may have thousands of servers and chooses one for each attempt. The few in a certain state (busy,
+ejected, warming up, answered recently) are therefore tracked as states change, not searched for. Has no
+decision logic.
 """
 
 from bisect import bisect_left, bisect_right
@@ -46,7 +47,7 @@
 
 
 class ServerIndex:
-    """The servers that may be sent new work (`up`), in the order of the list, and those in some state.
+    """The servers that may be sent new work (`up`), in the order of the list, and those in certain states.
 
     `busy` have attempts in flight, `unhealthy` are ejected or need a recovery probe, `warming` are in
     slow start, `decaying` have a fault score or relative latency that is not neutral. `unhealthy` and
@@ -70,7 +71,7 @@
     # --- membership ---
 
     def add(self, server: ServerRecord, is_up: bool) -> None:
-        """Add a listed server, or update one: whether it is up, and its states."""
+        """Add or update a listed server, with its states and whether it is up."""
         self._set_up(server, is_up)
         sharing = self._by_checksum.setdefault(server.checksum, [])
         if server not in sharing:
@@ -78,7 +79,7 @@
         self.update(server)
 
     def remove(self, server: ServerRecord) -> None:
-        """Forget a server that has left the list."""
+        """Remove a server that has left the list."""
         self._set_up(server, is_up=False)
         for state in (self.busy, self.unhealthy, self.warming, self.decaying, self._answered):
             state.pop(server, None)
@@ -99,16 +100,16 @@
             del self.up[position]
 
     def is_up(self, server: ServerRecord) -> bool:
-        """Whether the server may be sent new work."""
+        """Return whether the server may be sent new work."""
         position = bisect_left(self._up_serials, server.serial)
         return position < len(self.up) and self.up[position] is server
 
     def position(self, server: ServerRecord) -> int:
-        """The position of a server in `up`, or that at which it would be inserted."""
+        """Return the position of a server in `up`, or the position at which it would be inserted."""
         return bisect_left(self._up_serials, server.serial)
 
     def with_checksum(self, checksum: int) -> ServerRecord | None:
-        """The server with this checksum; None where no server has it, or several."""
+        """Return the server with this checksum; None if no server or several servers have it."""
         sharing = self._by_checksum.get(checksum, ())
         return sharing[0] if len(sharing) == 1 else None
 
@@ -131,19 +132,19 @@
         set_member(self.decaying, server, not is_neutral)
 
     def record_answer(self, server: ServerRecord) -> None:
-        """Note that the server has answered just now."""
+        """Record that the server has just answered."""
         self._answered[server] = None
         self._answered.move_to_end(server)
 
     def warming_at(self, now_us: int) -> list[ServerRecord]:
-        """The servers in slow start at that time; those that are warm leave `warming`."""
+        """Return the servers in slow start at that time, and remove those that are warm from `warming`."""
         warm = [server for server in self.warming if now_us >= server.warm_at_us]
         for server in warm:
             del self.warming[server]
         return list(self.warming)
 
     def unhealthy_at(self, now_us: int) -> list[ServerRecord]:
-        """The servers ejected at that time or in need of a recovery probe; the others leave `unhealthy`."""
+        """Return the servers that are ejected or need a recovery probe; remove others from `unhealthy`."""
         readmitted = [
             server
             for server in self.unhealthy
@@ -154,7 +155,7 @@
         return list(self.unhealthy)
 
     def connected_since(self, since_us: float) -> list[ServerRecord]:
-        """The servers up that are busy or have answered after that time, in the order of the list."""
+        """Return the servers up that are busy or have answered after that time, in the order of the list."""
         while self._answered:
             oldest = next(iter(self._answered))
             if oldest.last_answer_us > since_us:
@@ -163,12 +164,12 @@
         return self.in_order({**self.busy, **self._answered})
 
     def in_order(self, servers: Iterable[ServerRecord]) -> list[ServerRecord]:
-        """Those of the servers that are up, in the order of the list."""
+        """Return those of the servers that are up, in the order of the list."""
         return sorted(filter(self.is_up, servers), key=serial_of)
 
 
 def serial_of(server: ServerRecord) -> int:
-    """The server's position in the order of the list, as a sort key."""
+    """Return the sort key of a server in the order of the list."""
     return server.serial
 
 
--- a/orchidhatch/gateway/server_record.py
+++ b/orchidhatch/gateway/server_record.py
@@ -1,6 +1,6 @@
-"""What the gateway knows of each server, and how it is put into a snapshot and restored.
+"""The gateway's state of each server, with its snapshot and restoration.
 
-It decides nothing: slow_start.py, outlier_detection.py and attempt_averages.py read and change the fields.
+It has no decision logic: slow_start.py, outlier_detection.py and attempt_averages.py use the fields.
 """
 
 import zlib
@@ -9,7 +9,7 @@
 from orchidhatch.gateway.snapshots import ServerSnapshot
 from orchidhatch.gateway.times import NEVER
 
-# Two processes may compute the start of the same server from the wall clock this differently.
+# Two processes compute a server's start time from the wall clock, with a difference below this.
 SAME_START_TOLERANCE_US = 100_000
 
 
@@ -18,14 +18,14 @@
 
     def __init__(self, endpoint: Endpoint) -> None:
         self.endpoint = endpoint
-        # Its position in the order of the list; a server that was started anew keeps that of its predecessor.
+        # Its sort key in the order of the list; a restarted server keeps that of its previous record.
         self.serial = 0
         self.checksum = zlib.crc32(endpoint.name.encode()) & 0xFFFF
-        # When each attempt in flight was sent, by request and attempt number.
+        # When each attempt in flight was sent, by request id and attempt number.
         self.in_flight: dict[tuple[str, int], int] = {}
         self.last_answer_us = 0
-        # Outlier detection. The fault score is learnt from the attempts of all gateways, the failure score, a
-        # decaying count of failures, from those of this one.
+        # Outlier detection. The fault score reflects the attempts of all gateways; the failure score, a
+        # decaying count of failures, only those of this one.
         self.ejected_until_us = 0
         self.ejection_us = 0
         self.fault_score = 1.0
@@ -37,10 +37,10 @@
         self.relative_latency = 1.0
         self.reported_load: float | None = None
         self.load_reported_us = 0
-        # Slow start. An operator's ejection may hide a new start, so it counts as one when it ends.
+        # Slow start. An operator's ejection may hide a restart of the server, so its end counts as a start.
         self.cold_since_us = 0
         self.warm_at_us = NEVER
-        # Multiplies the rate while it warms up, as its answers show that it is warmer.
+        # Multiplies the rate of attempts during warm-up; raised while answers show that the server is warmer.
         self.rate_multiplier = 1.0
         # Attempts that it may be sent while it warms up, as of `credit_us`.
         self.credit = 0.0
@@ -63,7 +63,7 @@
         )
 
     def restore(self, snapshot: ServerSnapshot) -> None:
-        """Take over the state of the snapshot, unless the server has been started anew since."""
+        """Restore the state of the snapshot, unless the server has restarted since."""
         if abs(self.endpoint.started_us - snapshot.started_us) >= SAME_START_TOLERANCE_US:
             return
         self.relative_latency = snapshot.relative_latency
--- a/orchidhatch/gateway/settings.py
+++ b/orchidhatch/gateway/settings.py
@@ -1,6 +1,6 @@
-"""What a gateway is configured with: request classes, plans and the limits it works under.
+"""The configuration of a gateway: request classes, plans and limits.
 
-All times are whole microseconds. Settings are given once, at start; a policy change replaces some of them.
+All times are integers in microseconds. Settings are read once, at start; a policy change replaces some.
 """
 
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
 
 
 class DeduplicationScope(Enum):
-    """Which servers drop the repeats of a request that carries an idempotency key."""
+    """Which servers recognize and drop the repeats of a request with an idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -27,7 +27,7 @@
 class RequestClass:
     """A class of requests: its latency objective, its priority and whether it may be repeated.
 
-    `latency_objective_us` is the latency objective and `deadline_us` the last time for an answer, both from
+    `latency_objective_us` is the latency objective and `deadline_us` the time limit for an answer, both from
     the request's arrival. `priority_weight` is the priority weight of one unit, `late_priority_weight` that
     of an answer past the objective. Repeats of a keyed request are dropped within `dedup_scope` for
     `dedup_window_us` after the first attempt.
@@ -45,12 +45,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A plan's quota and rate ceiling, which hold for each customer over all gateways; 0 means no limit.
+    """A plan's quota and rate ceiling, which apply to each customer across all gateways; 0 means no limit.
 
-    `rate` and `burst` are the quota's units a second and its bucket's size, `ceiling_rate` and
-    `ceiling_burst` those of the hard ceiling. `max_in_flight` bounds the attempts in flight.
+    `rate` and `burst` are the quota's units per second and its bucket size, `ceiling_rate` and
+    `ceiling_burst` those of the rate ceiling. `max_in_flight` bounds the attempts in flight.
     `priority_factor` multiplies the priority weight of the customer's requests; `over_quota_weight` and
-    `over_quota_cost` are what a unit beyond the quota is worth and costs.
+    `over_quota_cost` are the value and the cost of a unit beyond the quota.
     """
 
     rate: float = 0.0
@@ -69,11 +69,11 @@
     """The configuration of one gateway.
 
     `gateway_index` is its index among `gateway_count` gateways, `policy_mark` the number of its policy in
-    gossip (0 for none). `max_open_requests` and `max_open_bytes` bound the requests that are owed an answer
-    and what they hold; 0 where that is limited elsewhere. `conn_idle_us` is how long a connection to a server
-    may stand idle. `banned_customers` are the customers of whom nothing is admitted. A server that has just
-    started can do `cold_capacity` of its capacity, all of it after `warm_up_us`; one that is sent more than
-    `overload_multiple` of what it can do for `overload_time_us` fails.
+    gossip (0 for none). `max_open_requests` and `max_open_bytes` bound the number and the memory of the
+    requests that are not answered yet; 0 if they are limited elsewhere. `conn_idle_us` is how long a
+    connection to a server may be idle. No request of `banned_customers` is admitted. A server that has just
+    started has `cold_capacity` of its capacity, and all of it after `warm_up_us`; one that is sent more than
+    `overload_multiple` of its current capacity for `overload_time_us` fails.
     """
 
     seed: int
--- a/orchidhatch/gateway/settings_codec.py
+++ b/orchidhatch/gateway/settings_codec.py
@@ -1,4 +1,4 @@
-"""Settings and load reports as they come in texts: from the simulator, the configuration file and servers."""
+"""Parses settings and load reports from the texts of the simulator, the configuration file and servers."""
 
 import math
 from collections.abc import Iterable, Mapping
@@ -7,7 +7,7 @@
 from orchidhatch.gateway.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
 
 ABSENT = "-"
-"""The text of a value that is not given."""
+"""The text that stands for an absent value."""
 
 DEFAULT_IDLE_US = 30_000_000
 
@@ -16,7 +16,7 @@
     "idempotency_key": Idempotency.KEYED,
     "non_idempotent": Idempotency.UNSAFE,
 }
-# The fields of a load report: as the simulator names them, and as the servers themselves do.
+# The fields of a load report by the names that the simulator uses, and by those that servers use.
 REPORT_FIELDS = {
     "busy_reqs": "inflight",
     "pending": "queue",
@@ -34,18 +34,18 @@
 
 
 class SettingTexts:
-    """The settings of a gateway as texts by their paths; paths that are not known are never read."""
+    """The settings of a gateway as texts by path; unknown paths are ignored."""
 
     def __init__(self, values: Mapping[str, str]) -> None:
         self.values = values
 
     def text(self, path: str, default: str = "") -> str:
-        """The text at the path, or the default where it is absent."""
+        """Return the text at the path, or the default if it is absent."""
         value = self.values.get(path, ABSENT)
         return default if value == ABSENT else value
 
     def number(self, path: str, default: float = 0.0) -> float:
-        """The finite number at the path; a ValueError for any other text."""
+        """Return the finite number at the path. Raises ValueError for any other text."""
         text = self.text(path, str(default))
         try:
             value = float(text)
@@ -56,16 +56,16 @@
         return value
 
     def whole(self, path: str, default: int = 0) -> int:
-        """The number at the path without its fraction; a ValueError for any other text."""
+        """Return the number at the path, truncated to an integer. Raises ValueError for any other text."""
         return int(self.number(path, default))
 
     def flag(self, path: str) -> bool:
-        """Whether the text at the path is "true" or "1"."""
+        """Return whether the text at the path is "true" or "1"."""
         return self.text(path, "false") in ("true", "1")
 
 
 def read_class(texts: SettingTexts, prefix: str) -> RequestClass:
-    """The request class whose settings' paths begin with `prefix`."""
+    """Return the request class whose settings paths start with `prefix`."""
     return RequestClass(
         latency_objective_us=texts.whole(f"{prefix}.on-time-us"),
         deadline_us=texts.whole(f"{prefix}.deadline-us"),
@@ -79,7 +79,7 @@
 
 
 def read_plan(texts: SettingTexts, prefix: str) -> Plan:
-    """The plan whose settings' paths begin with `prefix`."""
+    """Return the plan whose settings paths start with `prefix`."""
     return Plan(
         rate=texts.number(f"{prefix}.units-per-s"),
         burst=texts.number(f"{prefix}.burst"),
@@ -94,7 +94,7 @@
 
 
 def read_settings(seed: int, texts: SettingTexts) -> Settings:
-    """A gateway's settings; a ValueError or KeyError for a value that is not of its kind."""
+    """Return a gateway's settings. Raises ValueError or KeyError for an invalid value."""
     classes = range(texts.whole("categories.count"))
     plans = range(texts.whole("plans.count"))
     return Settings(
@@ -133,9 +133,9 @@
 
 
 def read_report(values: Iterable[tuple[str, str]]) -> LoadReport:
-    """A load report from names and values; unknown names and absent values are skipped.
+    """Return a load report from names and values; unknown names and absent values are skipped.
 
-    A value that is no number is a ValueError.
+    Raises ValueError if a value is not a number.
     """
     return LoadReport(
         **{
--- a/orchidhatch/gateway/simulator.py
+++ b/orchidhatch/gateway/simulator.py
@@ -2,8 +2,8 @@
 
     python -m orchidhatch.gateway.simulator
 
-One `GatewayCore` for each instance, no decision of its own. Malformed input ends the process with one line on
-standard error; an exception in the decision core is reported on the wire.
+It runs one `GatewayCore` for each instance and makes no decisions itself. Malformed input ends the process
+with one line on standard error; an exception in the decision core is reported on the wire.
 """
 
 import sys
@@ -40,10 +40,10 @@
 
     def __init__(self) -> None:
         self.gateways: dict[int, GatewayCore] = {}
-        # By instance, the names of the values of a load report.
+        # The names of the values in a load report, by instance.
         self.report_names: dict[int, list[str]] = {}
         self.endpoint_lists: dict[int, tuple[Endpoint, ...]] = {}
-        # The instance that the batch's next events are for, and that of the reply's last actions.
+        # The instance that receives the next events of the batch, and that of the last actions in the reply.
         self.target: int | None = None
         self.replying: int | None = None
         self.now_us = 0
@@ -57,7 +57,7 @@
     def handle(self, name: str, values: list[str], lines: Iterator[str]) -> list[str]:
         """Handle one message and return the reply's lines for it.
 
-        `lines` are those that follow, of which an endpoint list takes its entries. Raises WireError,
+        `lines` are those that follow; the entries of an endpoint list are read from them. Raises WireError,
         ValueError or KeyError for malformed input and CoreError for a failure of the decision core.
         """
         fields = Fields(values)
@@ -84,14 +84,14 @@
         return self._decide(self.target, read_event(name, fields, self.report_names[self.target]))
 
     def _start(self, instance: int, fields: Fields) -> None:
-        """Start a decision core by its seed and settings."""
+        """Create a decision core from its seed and settings."""
         texts = read_pairs(value for value in fields.values[1:] if value)
         report_names = texts.text("stats.names")
         self.report_names[instance] = report_names.split(",") if report_names else []
         self.gateways[instance] = GatewayCore(read_settings(fields.integer(), texts))
 
     def _read_list(self, fields: Fields) -> EndpointList:
-        """Decode an endpoint list event, whose entries an earlier message has brought."""
+        """Decode an endpoint list event, whose entries were in an earlier message."""
         kind = LIST_KINDS[fields.text()]
         version = fields.integer(0)
         number = fields.integer(0)
@@ -102,7 +102,7 @@
         return EndpointList(kind, version, self.endpoint_lists[number])
 
     def _decide(self, instance: int, event: Event) -> list[str]:
-        """Hand an event to its decision core and encode the actions."""
+        """Pass an event to its decision core and encode the actions."""
         try:
             actions = self.gateways[instance].handle(self.now_us, event)
         except Exception as error:
@@ -116,7 +116,7 @@
 
 
 class NumberedLines(Iterator[str]):
-    """The lines of the input without their ends; `number` is that of the last one read, from 1."""
+    """The input lines without line breaks; `number` is the number of the last one read, from 1."""
 
     def __init__(self, source: Iterable[str]) -> None:
         self._source = iter(source)
@@ -150,7 +150,7 @@
 
 
 def serve(source: TextIO, sink: TextIO) -> int:
-    """Answer batches until the input ends; the process's exit status."""
+    """Answer batches until the input ends, and return the exit status of the process."""
     host = Host()
     lines = NumberedLines(source)
     try:
@@ -167,12 +167,12 @@
 
 
 def report_malformed_input(line_number: int, text: str) -> None:
-    """Write one line on standard error."""
+    """Write the error as one line to standard error."""
     print(f"orchidhatch: line {line_number}: {one_line(text)}", file=sys.stderr)
 
 
 def main() -> int:
-    """Serve the simulator on standard input and output; the process's exit status."""
+    """Serve the simulator on standard input and output, and return the exit status of the process."""
     sys.stdin.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     return serve(sys.stdin, sys.stdout)
--- a/orchidhatch/gateway/simulator_codec.py
+++ b/orchidhatch/gateway/simulator_codec.py
@@ -1,7 +1,7 @@
-"""The simulator's wire: lines of text, decoded to events and encoded from actions. It decides nothing.
+"""The simulator's protocol: lines of text, decoded to events and encoded from actions.
 
 A line holds the name of a message and its values, separated by single spaces; `-` is an absent value. The
-names of messages and values are those of WIRE; times are in microseconds.
+names of messages and values are defined in WIRE; times are in microseconds. The module has no decision logic.
 """
 
 from collections.abc import Iterable, Iterator
@@ -61,14 +61,14 @@
 
 
 class WireError(Exception):
-    """The input is not what WIRE describes."""
+    """The input does not conform to WIRE."""
 
 
 class Fields:
-    """The values of one line, taken in order.
+    """The values of one line, read in order.
 
-    Each method takes the next value. It raises a WireError where the value is missing, unless there is a
-    default, and a ValueError where it is no number.
+    Each method reads the next value. It raises WireError if the value is missing and there is no default, and
+    ValueError if a numeric value is not a number.
     """
 
     def __init__(self, values: list[str]) -> None:
@@ -76,7 +76,7 @@
         self.position = 0
 
     def text(self) -> str:
-        """Take a text."""
+        """Read a text."""
         if self.position >= len(self.values) or self.values[self.position] in ABSENT_VALUES:
             raise WireError(f"field {self.position + 1} is missing")
         value = self.values[self.position]
@@ -84,7 +84,7 @@
         return value
 
     def is_present(self) -> bool:
-        """Whether an optional value comes next; an absent one is skipped."""
+        """Return whether the next value, an optional one, is present; skip it if it is absent."""
         if self.position >= len(self.values):
             return False
         if self.values[self.position] in ABSENT_VALUES:
@@ -93,41 +93,41 @@
         return True
 
     def integer(self, default: int | None = None) -> int:
-        """Take a whole number, or the default where the value is absent."""
+        """Read an integer, or return the default if the value is absent."""
         if default is not None and not self.is_present():
             return default
         return int(self.text())
 
     def number(self, default: float | None = None) -> float:
-        """Take a number, or the default where the value is absent."""
+        """Read a number, or return the default if the value is absent."""
         if default is not None and not self.is_present():
             return default
         return float(self.text())
 
     def flag(self) -> bool:
-        """Take a truth value, 1 or 0; a WireError for any other."""
+        """Read a boolean, 1 or 0. Raises WireError for any other value."""
         text = self.text()
         if text not in ("0", "1"):
             raise WireError(f"'{text}' is not 0 or 1")
         return text == "1"
 
     def optional_text(self) -> str:
-        """Take a text, empty where the value is absent."""
+        """Read a text, empty if the value is absent."""
         return self.text() if self.is_present() else ""
 
     def optional_bytes(self) -> bytes:
-        """Take bytes in hex digits, none where the value is absent."""
+        """Read bytes in hexadecimal, empty if the value is absent."""
         return bytes.fromhex(self.text()) if self.is_present() else b""
 
 
 def split_line(line: str) -> tuple[str, list[str]]:
-    """Split a line into its message's name and its values."""
+    """Split a line into the name of its message and its values."""
     name, *values = line.split(" ")
     return name, values
 
 
 def read_pairs(pairs: Iterable[str]) -> SettingTexts:
-    """Decode settings from `path=value` texts; a WireError for a text without the sign."""
+    """Decode settings from `path=value` texts. Raises WireError for a text without an equals sign."""
     values: dict[str, str] = {}
     for pair in pairs:
         path, sign, value = pair.partition("=")
@@ -138,7 +138,7 @@
 
 
 def read_load(fields: Fields, names: list[str]) -> LoadReport | None:
-    """Take a load report, whose values are in the order of their names; None where it is absent."""
+    """Read a load report, whose values are in the order of `names`; None if it is absent."""
     if not fields.is_present():
         return None
     values = fields.text().split(",")
@@ -148,7 +148,7 @@
 
 
 def read_endpoint(line: str) -> Endpoint:
-    """Decode the line of an entry of the endpoint list."""
+    """Decode the line of an endpoint list entry."""
     name, values = split_line(line)
     if name != "M":
         raise WireError("a list entry is missing")
@@ -190,7 +190,7 @@
 
 
 def read_attempt_end(fields: Fields, report_names: list[str]) -> AttemptEnded:
-    """Decode how an attempt ended."""
+    """Decode the end of an attempt."""
     return AttemptEnded(
         id=fields.text(),
         is_final=fields.flag(),
@@ -205,7 +205,7 @@
 
 
 def read_stream_start(fields: Fields) -> StreamStarted:
-    """Decode that a streamed answer has begun."""
+    """Decode the start of a streamed answer."""
     return StreamStarted(
         id=fields.text(),
         attempt=fields.integer(),
@@ -244,8 +244,8 @@
 def read_event(name: str, fields: Fields, report_names: list[str]) -> Event:
     """Decode an event other than the start, the end and the endpoint list of an instance.
 
-    `report_names` are the names of a load report's values. Raises a WireError for an unknown message, and a
-    KeyError for a word that is not among those of its kind.
+    `report_names` are the names of a load report's values. Raises WireError for an unknown message, and
+    KeyError for an unknown attempt result.
     """
     match name:
         case "NEW_REQUEST":
@@ -268,7 +268,7 @@
 
 
 def read_endpoints(lines: Iterator[str], count: int) -> tuple[Endpoint, ...]:
-    """Decode that many entries of an endpoint list from the lines that follow."""
+    """Decode `count` entries of an endpoint list from the lines that follow."""
     endpoints: list[Endpoint] = []
     for _ in range(count):
         line = next(lines, None)
@@ -279,9 +279,9 @@
 
 
 def write_action(action: Action) -> str:
-    """Encode an action as its line, or lines, or as "" if it has none.
+    """Encode an action as one or more lines, or as "" if it needs none.
 
-    Raises TypeError for an action that the wire does not have.
+    Raises TypeError for an action that the protocol does not have.
     """
     match action:
         case SendAttempt(request_id, server, timeout_us):
@@ -313,5 +313,5 @@
 
 
 def one_line(text: str) -> str:
-    """Replace each run of white space by a single space."""
+    """Replace each run of white space with a single space."""
     return " ".join(text.split())
--- a/orchidhatch/gateway/slow_start.py
+++ b/orchidhatch/gateway/slow_start.py
@@ -1,9 +1,9 @@
-"""Slow start: how much a server that has just started is sent while it warms up.
+"""Slow start: limits what a newly started server is sent while it warms up.
 
-A server that starts has `cold_capacity` of its capacity, and all of it after `warm_up_us`; sent more than
-`overload_multiple` of what it can do then, it fails (Settings; the operators' rule on cold servers). All
-gateways learn of the start at the same time, so each of them sends a small rate: a server warming up earns
-credit, and one attempt costs one credit.
+A server starts with `cold_capacity` of its capacity and has all of it after `warm_up_us`; it fails if it is
+sent more than `overload_multiple` of its current capacity (Settings; the operators' rule on cold servers).
+All gateways learn of the start at the same time, so each of them sends at a low rate: a server warming up
+earns credit, and one attempt costs one credit.
 """
 
 import math
@@ -12,16 +12,16 @@
 from orchidhatch.gateway.server_record import ServerRecord
 from orchidhatch.gateway.times import NEVER, S
 
-# The rate multiplier follows the answers' latency; twice the usual rate is still under the failure limit.
+# The rate multiplier follows the latency of answers; twice the usual rate is still below the failure limit.
 MIN_RATE_MULTIPLIER = 0.5
 MAX_RATE_MULTIPLIER = 2.0
 RATE_MULTIPLIER_STEP = 0.1
 INITIAL_RATE_MULTIPLIER = 1.0
-# A cold server's weight, where the settings name no share or less: it is divided by, and credit grows by it.
+# Lower bound where `cold_capacity` is 0 or smaller: weights are divisors, and credit grows in proportion.
 MIN_WEIGHT = 0.001
 MAX_CREDIT = 1.0
 ATTEMPT_CREDIT = 1
-# Longer than a release, which sends fewer attempts and must not lower the rate that cold servers get.
+# Longer than a release: the fewer attempts during one must not lower the rate of cold servers.
 USUAL_RATE_DECAY_US = 30 * S
 
 
@@ -30,7 +30,7 @@
 
     def __init__(self, context: DecisionContext) -> None:
         self.context = context
-        # First attempts a second that this gateway sends a warm server in normal operation.
+        # First attempts per second that this gateway sends a warm server in normal operation.
         self.usual_rate = 0.0
 
     # --- start ---
@@ -41,12 +41,12 @@
         server.credit_us = self.context.now_us
 
     def restart(self, server: ServerRecord) -> None:
-        """Let a server warm up from now on; its first attempt is permitted at once."""
+        """Start the warm-up of a server anew; its first attempt is permitted at once."""
         server.cold_since_us = self.context.now_us
         server.credit = MAX_CREDIT
 
     def schedule(self, server: ServerRecord) -> None:
-        """Set the time at which a server is warm, by its start and the settings."""
+        """Set the time at which a server is warm, from its start time and the settings."""
         settings = self.context.settings
         started_us = max(server.endpoint.started_us, server.cold_since_us)
         if started_us and settings.cold_capacity < 1:
@@ -57,11 +57,11 @@
     # --- weight and rate ---
 
     def is_warming_up(self, server: ServerRecord) -> bool:
-        """Whether a server is in slow start."""
+        """Return whether a server is in slow start."""
         return self.context.now_us < server.warm_at_us
 
     def weight(self, server: ServerRecord) -> float:
-        """The slow-start weight: the least share of its capacity that a server has now, above 0, up to 1."""
+        """Return the slow-start weight: the capacity fraction a server has at least, above 0 and up to 1."""
         now_us = self.context.now_us
         if now_us >= server.warm_at_us:
             return 1.0
@@ -71,24 +71,27 @@
         return max(MIN_WEIGHT, cold_capacity + (1 - cold_capacity) * (1 - remaining))
 
     def permitted_rate(self, server: ServerRecord) -> float:
-        """Attempts a second to a server warming up: half of what would make it fail if others were full."""
+        """Return how many attempts per second may go to a server warming up.
+
+        That is half the rate at which it would fail if the other servers were full.
+        """
         settings = self.context.settings
         usual_rate = max(1 / settings.gateway_count, self.usual_rate)
         overload_factor = max(1.0, settings.overload_multiple / 2)
         return usual_rate * self.weight(server) * overload_factor * server.rate_multiplier
 
     def has_credit(self, server: ServerRecord) -> bool:
-        """Add the credit that a server warming up has earned; whether it may be sent an attempt."""
+        """Add the credit that a server warming up has earned; return whether it may be sent an attempt."""
         now_us = self.context.now_us
         earned = (now_us - server.credit_us) / S * self.permitted_rate(server)
         server.credit = min(MAX_CREDIT, server.credit + earned)
         server.credit_us = now_us
         return server.credit >= ATTEMPT_CREDIT
 
-    # --- what attempts and periods show ---
+    # --- results of attempts and control periods ---
 
     def record_latency(self, server: ServerRecord, is_below_mean: bool) -> None:
-        """Raise the rate multiplier after an answer that was quicker than the mean, else lower it."""
+        """Raise the rate multiplier after an answer faster than the mean, else lower it."""
         step = RATE_MULTIPLIER_STEP if is_below_mean else -2 * RATE_MULTIPLIER_STEP
         multiplier = server.rate_multiplier + step
         server.rate_multiplier = min(MAX_RATE_MULTIPLIER, max(MIN_RATE_MULTIPLIER, multiplier))
@@ -98,6 +101,6 @@
         server.rate_multiplier = INITIAL_RATE_MULTIPLIER
 
     def end_period(self, attempts_per_s: float, server_count: int, period_us: int) -> None:
-        """Update the usual rate of a warm server by a control period's rate of first attempts."""
+        """Update the usual rate of a warm server from a control period's rate of first attempts."""
         decay = math.exp(-period_us / USUAL_RATE_DECAY_US)
         self.usual_rate = max(attempts_per_s / max(1, server_count), self.usual_rate * decay)
--- a/orchidhatch/gateway/snapshots.py
+++ b/orchidhatch/gateway/snapshots.py
@@ -1,7 +1,7 @@
 """What a process hands over to its successor: a snapshot of all state, and the changes that follow it.
 
-While both processes serve they are one gateway together: each sends the other what it spends and sends.
-Fields with a default are later than the records; a process of the version before sends and reads none.
+While both processes serve, they act as one gateway: each informs the other of its spending and its attempts.
+Fields with a default were added later; a process of the previous version neither sends nor reads them.
 """
 
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 
 class CustomerKey(NamedTuple):
-    """A customer as its requests name it: the checksum of its name, its plan and its set of gateways."""
+    """Identifies a customer: the checksum of its name, its plan, and its set of gateways."""
 
     customer: int
     plan_index: int
@@ -19,9 +19,9 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantRequestSnapshot:
-    """A grant request whose number may not name another one yet.
+    """A grant request whose grant number may not be reused yet.
 
-    It was opened for so many `units`; `counted` is what the leader's answers said, `spent` what was spent.
+    It was opened for `units`; `counted` is what the leader counted by its answers, `spent` what was spent.
     """
 
     key: CustomerKey
@@ -34,10 +34,10 @@
 
 @dataclass(frozen=True, slots=True)
 class HandoverSpend:
-    """Units that one process took from a customer's quota; negative where it gave some back.
+    """Units that one process spent of a customer's quota; negative for a refund.
 
-    The successor reports those of its predecessor, but for what the leader has `counted` with its answers.
-    `answered` is the grant request whose answer that was, none or one.
+    The successor reports those of its predecessor, except for what the leader has `counted` with its answers.
+    `answered` holds the grant request that was answered, if any.
     """
 
     key: CustomerKey
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HandoverAttemptEnd:
-    """An attempt of one process is in flight no more."""
+    """An attempt of one process is no longer in flight."""
 
     id: str
     attempt: int
@@ -78,10 +78,10 @@
 class CustomerSnapshot:
     """The state of a customer.
 
-    `share` is the local part of the quota, `level` that of the whole set as last heard, `ceiling`
-    the local bucket of the rate ceiling, `last_answer_us` when the quota leader answered last.
-    `unreported_demand` and `unreported_spend` are the units requested and spent that the leader has not been
-    sent.
+    `share` is the local share of the quota, `level` the quota of the whole gateway set as last reported,
+    `ceiling` the local bucket of the rate ceiling, `last_answer_us` when the quota leader answered last.
+    `unreported_demand` and `unreported_spend` are the units requested and spent that were not reported to the
+    leader yet.
     """
 
     key: CustomerKey
@@ -97,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CountedGrantSnapshot:
-    """What a quota leader has counted for a grant request of the gateway `peer`, which may come again."""
+    """What a quota leader has counted for a grant request of the gateway `peer`, which may be repeated."""
 
     key: CustomerKey
     peer: int
@@ -109,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportStreamSnapshot:
-    """A stream of reports to a customer's quota leader, after the predecessor's last message of it."""
+    """A report stream to a customer's quota leader, after the predecessor's last message in it."""
 
     key: CustomerKey
     number: int
@@ -120,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedTotalSnapshot:
-    """The total of spent units in the newest message that a quota leader has of the gateway `peer`."""
+    """The spent total in the latest message that a quota leader has received from the gateway `peer`."""
 
     key: CustomerKey
     peer: int
@@ -135,9 +135,9 @@
     """The health and slow start of a server.
 
     `relative_latency` is its latency over its class's mean, `failure_score` the decaying count of failures. A
-    server that was ejected until `ejected_until_us` is `needs_probe` until a recovery probe succeeds;
-    `ejection_us` is how long the next ejection lasts, `recovered_us` when it recovered. `cold_since_us` is
-    since when it may be cold, `credit` the part of an attempt that slow start permits, as of
+    server that was ejected until `ejected_until_us` has `needs_probe` set until a recovery probe succeeds;
+    `ejection_us` is the length of the last ejection, `recovered_us` the time of the last recovery.
+    `cold_since_us` is since when it may be cold, `credit` the slow-start credit, in attempts, as of
     `credit_us`.
     """
 
@@ -158,9 +158,9 @@
 class OverloadSnapshot:
     """The state of the overload controller.
 
-    `admission_limit` is the admission limit N, 0 where none is in force; `admitted` the first attempts of the
-    period, which began at `period_start_us` and lasts `period_length_us`. `attempts_per_s` is the mean of
-    first attempts a second, `usual_attempts_per_s` that of a warm server.
+    `admission_limit` is the admission limit N, 0 if none is in force; `admitted` the first attempts of the
+    period, which began at `period_start_us` and lasts `period_length_us`. `attempts_per_s` is the mean rate
+    of first attempts, `usual_attempts_per_s` that to a warm server.
     """
 
     admission_limit: float
@@ -178,8 +178,8 @@
 
     `mean_latencies_us` are the mean latencies by request class, `ejections` the servers that were ever listed
     and whether an operator has ejected them, `attempts` the attempts in flight, `grant_requests` the latest
-    grant requests, `counted_grants` the latest that were counted for other gateways, `report_streams` and
-    `received_totals` the latest totals of spent units that were sent to quota leaders, and received.
+    grant requests, `counted_grants` the latest grants counted for other gateways. `report_streams` has the
+    latest spent totals that were sent to quota leaders, `received_totals` those that were received.
     """
 
     now_us: int
--- a/orchidhatch/gateway/times.py
+++ b/orchidhatch/gateway/times.py
@@ -7,4 +7,4 @@
 """A second."""
 
 NEVER = 1 << 62
-"""A time that does not come; negated, one that is long past."""
+"""A time that never comes; negated, a time in the distant past."""
