--- a/orchidhatch/faults/seeded_defects.py
+++ b/orchidhatch/faults/seeded_defects.py
@@ -248,7 +248,7 @@
             end_unserved(self, request, reason)
 
     RequestCompletion.end_unserved = end_unless_reset
-    RequestLifecycle.overdue = lambda self, request_id: None
+    RequestLifecycle.fail_unanswered = lambda self, request_id: None
 
 
 def close_on_termination() -> None:
--- a/orchidhatch/proxy/client_connection.py
+++ b/orchidhatch/proxy/client_connection.py
@@ -41,8 +41,8 @@
     backlog: SendBacklog
     loop_watch: LoopWatch
     clock: Callable[[], float]
-    take: Callable[[list[bytes], Reply], None]
-    gone: Callable[[Reply], None]
+    start_request: Callable[[list[bytes], Reply], None]
+    abandon_request: Callable[[Reply], None]
     reads_no_more: bool
 
     def elapsed_us(self, since_s: float) -> int:
@@ -192,7 +192,7 @@
             reply.send(self.clients.answer_ping(arguments[1:]))
             return
         try:
-            self.clients.take(arguments, reply)
+            self.clients.start_request(arguments, reply)
             self.has_sent_request = True
         except CommandError as error:
             self.clients.metrics.malformed_commands += 1
@@ -201,7 +201,7 @@
     def _fail_replies(self) -> None:
         """Answer what is owed with an error."""
         for reply in self._owed_replies():
-            self.clients.gone(reply)
+            self.clients.abandon_request(reply)
             reply.send(FAILED_ANSWER)
 
     def _owed_replies(self) -> list[Reply]:
@@ -445,7 +445,7 @@
         self.replies.clear()
         for reply in replies:
             if not reply.is_complete:
-                self.clients.gone(reply)
+                self.clients.abandon_request(reply)
 
     def connection_lost(self, error: Exception | None) -> None:
         """The event loop has let go of the connection, closed by either side."""
--- a/orchidhatch/proxy/clients.py
+++ b/orchidhatch/proxy/clients.py
@@ -28,15 +28,15 @@
     def __init__(
         self,
         max_connections: int,
-        take: Callable[[list[bytes], Reply], None],
-        gone: Callable[[Reply], None],
+        start_request: Callable[[list[bytes], Reply], None],
+        abandon_request: Callable[[Reply], None],
         account: CpuAccounting | None = None,
         guard: Guard | None = None,
         loop_watch: LoopWatch | None = None,
     ) -> None:
         self.max_connections = max_connections
-        self.take = take
-        self.gone = gone
+        self.start_request = start_request
+        self.abandon_request = abandon_request
         self.account = account or CpuAccounting()
         self.guard = guard or Guard()
         self.loop_watch = loop_watch or LoopWatch()
--- a/orchidhatch/proxy/event_dispatcher.py
+++ b/orchidhatch/proxy/event_dispatcher.py
@@ -1,8 +1,8 @@
-"""Delivers events to the decision core in batches and carries out the actions that it returns.
+"""Delivers events to the decision core in batches and executes the actions that it returns.
 
-What has come in by one moment is a batch: each of its events is handed to the core with the same time, in
-order of arrival, and its actions are carried out in order. What an action itself causes (an attempt that
-could not start) comes with a later batch.
+All events that are pending at one time are a batch. They are passed to the core with the same time and in
+order of arrival, and the actions of each are executed in order. An event that an action causes, such as the
+end of an attempt that could not start, is part of a later batch.
 """
 
 import asyncio
@@ -19,7 +19,7 @@
 
 log = logging.getLogger(__name__)
 
-# How soon a timer fires again when the core failed on it.
+# Delay before a timer fires again after the core raised an exception on it.
 FAILED_TIMER_RETRY_US = 20_000
 MIN_TIMER_WAIT_US = 1000
 
@@ -27,57 +27,57 @@
 
 
 class EventDispatcher:
-    """The only caller of the decision core: a queue of events in, a table of action handlers out."""
+    """The only caller of the decision core: queues events and passes its actions to their handlers."""
 
     def __init__(self, core: GatewayCore, account: CpuAccounting) -> None:
         self.core = core
         self.account = account
         self.loop = asyncio.get_running_loop()
-        self.inbox: list[Event] = []
+        self.pending_events: list[Event] = []
         self.longest_batch_us = 0
         self.handlers: ActionHandlers = {}
         self.fail_request: Callable[[str], None] = lambda request_id: None
 
-    def connect(self, handlers: ActionHandlers, fail_request: Callable[[str], None]) -> None:
-        """Set what carries out each type of action, and what fails a request over an internal fault."""
+    def set_handlers(self, handlers: ActionHandlers, fail_request: Callable[[str], None]) -> None:
+        """Set the handler of each action type, and the function that fails a request on an internal error."""
         self.handlers = handlers
         self.fail_request = fail_request
 
     def post(self, event: Event) -> None:
-        """Add an event to the batch of this turn of the event loop."""
-        if not self.inbox:
+        """Queue an event for the batch that runs in the next iteration of the event loop."""
+        if not self.pending_events:
             self.loop.call_soon(self.run_batch)
-        self.inbox.append(event)
+        self.pending_events.append(event)
 
     def run_batch(self) -> None:
-        """Hand everything that has come in to the core now."""
+        """Pass all pending events to the core now."""
         previous = self.account.enter(CostCategory.DECISION_CORE)
         try:
-            self._handle_all()
+            self._process_batch()
         finally:
             self.account.leave(previous)
 
-    def _handle_all(self) -> None:
+    def _process_batch(self) -> None:
         now = now_us()
-        events = self.inbox
-        self.inbox = []
+        events = self.pending_events
+        self.pending_events = []
         for event in events:
             try:
                 actions = self.core.handle(now, event)
             except Exception:
-                log.exception("the decision core failed on %r", event)
+                log.exception("decision core failed: event=%r", event)
                 self._recover_from(event)
                 continue
             for action in actions:
-                self._carry_out(action)
+                self._execute(action)
         self.longest_batch_us = max(self.longest_batch_us, now_us() - now)
 
     def _recover_from(self, event: Event) -> None:
         self.fail_request(getattr(event, "id", ""))
-        if isinstance(event, TimerExpired):  # the core depends on its timers, so this one fires again
+        if isinstance(event, TimerExpired):  # fires again, as the core depends on its timers
             self.set_timer(SetTimer(FAILED_TIMER_RETRY_US, event.token))
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         category, handler = self.handlers[type(action)]
         previous = self.account.enter(category)
         try:
@@ -89,28 +89,29 @@
             self.account.leave(previous)
 
     def ask(self, event: Event) -> Any:  # noqa: ANN401 - each query has its own type of answer
-        """Return the core's one answer to a query, after all that came in before it."""
+        """Return the core's answer to a query, after processing all pending events."""
         self.run_batch()
         answers = []
         for action in self.core.handle(now_us(), event):
             if isinstance(action, EjectionResult | MetricsSnapshot | GatewaySnapshot):
                 answers.append(action)
             else:
-                self._carry_out(action)
+                self._execute(action)
         return answers[0]
 
     def set_timer(self, action: SetTimer) -> None:
-        """Post a timer event after the action's delay, never before it is due."""
+        """Post a timer event after the action's delay, never early."""
         self._fire_or_wait(now_us() + action.delay_us, action.token)
 
     def _fire_or_wait(self, due_us: int, token: int) -> None:
-        """Wait again if called early: the event loop's timers have a resolution of milliseconds.
+        """Post the timer event if it is due, else wait again.
 
-        The core would ignore a timer that is early and, as it still counts it as set, never set another.
+        The event loop's timers have a resolution of milliseconds and may fire early. The core ignores an
+        early timer event but still counts the timer as set, so it would never set another one.
         """
-        left_us = due_us - now_us()
-        if left_us > 0:
-            wait_s = max(MIN_TIMER_WAIT_US, left_us) / 1e6
+        remaining_us = due_us - now_us()
+        if remaining_us > 0:
+            wait_s = max(MIN_TIMER_WAIT_US, remaining_us) / 1e6
             self.loop.call_later(
                 wait_s, self.account.run, CostCategory.DECISION_CORE, self._fire_or_wait, due_us, token
             )
--- a/orchidhatch/proxy/guards.py
+++ b/orchidhatch/proxy/guards.py
@@ -1,8 +1,8 @@
-"""The invariants of sending, repeating and closing, checked at the instant of the effect.
+"""Invariants of sending, retrying and closing, checked immediately before the effect.
 
-The code before each effect is to make sure that none of them is broken. A refusal here is a fault of that
-code: it is counted for the metrics page and logged with the request's id, and whatever tests or trials the
-program fails over it.
+The code that leads to each effect must itself keep these invariants. A refusal by the guard is therefore a
+defect in that code: it is counted on the metrics page and logged with the request's id, and it fails any test
+or trial in which it occurs.
 """
 
 import logging
@@ -21,35 +21,37 @@
     SERVER_LEAVING = "server_leaving"
     """An attempt to a server that is draining, removed, or ejected by an operator."""
     REQUEST_ENDED = "request_ended"
-    """An attempt for a request that has its answer, or whose client has left."""
+    """An attempt for a request that was answered, or whose client has disconnected."""
     PAST_DEADLINE = "past_deadline"
-    """An attempt after the time in which its client waits."""
+    """An attempt after the request's deadline."""
     PAST_REPEAT_WINDOW = "past_repeat_window"
-    """A repeat of what may have run, after its idempotency key may be forgotten."""
+    """A retry of a keyed request that may have run, after the end of the deduplication window."""
     REPEAT_FORBIDDEN = "repeat_forbidden"
-    """A repeat of what may have run, of a class that must not run twice."""
+    """A retry of an unsafe request that may have run."""
     TOO_MANY_ATTEMPTS = "too_many_attempts"
     OVERLAPPING_ATTEMPT = "overlapping_attempt"
-    """An attempt while another one of its request is out."""
+    """An attempt while another attempt of the same request is in flight."""
     ANSWER_OWED = "answer_owed"
-    """The close of a client's connection on which an answer is owed."""
+    """A close of a client connection that has an unanswered command."""
 
 
 class Guard:
-    """Counts what was refused, by the invariant."""
+    """Counts refused effects by invariant."""
 
     def __init__(self) -> None:
         self.refusals: Counter[Refusal] = Counter()
 
     def refuse(self, refusal: Refusal, request_id: str, detail: str = "") -> Refusal:
-        """Count and log a refusal; returns it."""
+        """Count and log a refusal, and return it."""
         self.refusals[refusal] += 1
-        about = request_id or "-"
-        log.error("guard refused reason=%s request=%s at %d us %s", refusal.value, about, now_us(), detail)
+        request_label = request_id or "-"
+        log.error(
+            "guard refused reason=%s request=%s at %d us %s", refusal.value, request_label, now_us(), detail
+        )
         return refusal
 
     def metrics_text(self) -> str:
-        """All reasons in Prometheus's text form, zeros too."""
+        """Return the count of every refusal, zeros included, in the Prometheus text format."""
         counts = {f'reason="{refusal.value}"': self.refusals[refusal] for refusal in Refusal}
         return metric_text(
             "guard_refusals_total", "counter", "Effects that would have broken a rule.", counts
--- a/orchidhatch/proxy/process_lifecycle.py
+++ b/orchidhatch/proxy/process_lifecycle.py
@@ -77,7 +77,7 @@
         longest_us = max(rule.deadline_us for rule in self.active.settings.classes)
         time_left_us = min(MOST_DEADLINE_US, longest_us) + KILL_AFTER_US
         self.note_termination()
-        self.requests.last_answer_us = self.terminated_us + time_left_us - ANSWER_MARGIN_US
+        self.requests.answer_deadline_us = self.terminated_us + time_left_us - ANSWER_MARGIN_US
         if not was_replaced:
             self.clients.accepts_clients = False
             await asyncio.sleep(SETTLE_S)
--- a/orchidhatch/proxy/request_lifecycle.py
+++ b/orchidhatch/proxy/request_lifecycle.py
@@ -1,10 +1,11 @@
-"""The life of each request: admitted from a client, sent in attempts, answered once.
+"""The lifecycle of each request: accepted from a client, sent in attempts, answered exactly once.
 
-The way of a request: `take` parses it and posts it to the decision core; the core's actions come back as
-`send`, `cancel`, `reject` and `fail`; `attempt_done` reports the end of each attempt; `settle` ends what is
-owed, whichever of these comes first. A backstop timer answers if the core does not.
+`start_request` parses a request and posts it to the decision core. The core's actions arrive as calls of
+`send`, `cancel`, `reject` and `fail`. `handle_attempt_end` reports the end of each attempt to the core.
+`close_request` closes a request with the first answer, failure or disconnect. A backstop timer fails the
+request if the core does not answer it in time.
 
-Somewhat longer than other modules, so that the whole way of one request is in one place.
+The module is longer than others to keep the whole lifecycle in one place.
 """
 
 import asyncio
@@ -35,13 +36,13 @@
 
 log = logging.getLogger(__name__)
 
-# Subtracted from the time that a client waits: for the way of its request here and of the answer back.
+# Subtracted from the client's timeout to cover the network delay of the request and of its answer.
 ANSWER_MARGIN_US = 25_000
-# How much later than the decision core a request is ended here, should the core not end it.
+# How long after its deadline a request is failed here if the decision core has not ended it.
 BACKSTOP_US = 15_000
 US_PER_MS = 1000
 GUARD_SLACK_US = 5_000
-"""Between the check that ends an attempt in time and the guard's, the clock moves on."""
+"""Tolerance for the clock's advance between the attempt's own deadline check and the guard's."""
 
 
 class RequestLifecycle:
@@ -62,39 +63,42 @@
         self.post = post
         self.loop = asyncio.get_running_loop()
         self.open: dict[str, RequestExchange] = {}
-        """Requests that are owed an answer."""
+        """Requests without an answer, by id."""
         self.ended: dict[str, RequestExchange] = {}
-        """Requests that were answered and have attempts still out."""
+        """Answered or abandoned requests with attempts still in flight, by id."""
         self.open_command_bytes = 0
         self.buffered_bytes = 0
-        """Of long values that are kept until they are complete."""
+        """Total size of the long values that are buffered until they are complete."""
         self.queue_waits = WaitHistogram()
         self.tally: Counter[str] = Counter()
-        """Requests, and how attempts ended, since the last log line."""
+        """Requests and results of attempts since the last periodic log line."""
         self.results: Counter[str] = Counter()
-        """How attempts ended, since the start."""
+        """Results of attempts since the process start."""
         self.retries: Counter[str] = Counter()
-        """Further attempts by the result of the one before, since the start."""
+        """Retries by the result of the previous attempt, since the process start."""
         self.sent: Counter[str] = Counter()
-        """Attempts by backend, since the last log line."""
+        """Attempts by backend, since the last periodic log line."""
         self.spent: Counter[tuple[str, str, int]] = Counter()
-        """Units by customer, plan and set size, since the last log line."""
-        self.last_answer_us: int | None = None
-        """Until when this process is sure to live, once it is ending."""
+        """Units by customer, plan and size of the gateway set, since the last periodic log line."""
+        self.answer_deadline_us: int | None = None
+        """Until when answers can be sent before SIGKILL; None unless the process is shutting down."""
         self.clients: Clients
         self.backends: Backends
         self.policy_guard: PolicyGuard
 
-    def connect(self, clients: Clients, backends: Backends, policy_guard: PolicyGuard) -> None:
-        """Set the collaborators that are themselves created with this object's callbacks."""
+    def set_collaborators(self, clients: Clients, backends: Backends, policy_guard: PolicyGuard) -> None:
+        """Set the collaborators, which are created later because they take this object's callbacks."""
         self.clients = clients
         self.backends = backends
         self.policy_guard = policy_guard
 
-    # --- from the client ---
+    # --- requests from clients ---
 
-    def take(self, arguments: list[bytes], reply: Reply) -> None:
-        """Start a request from a client's command; raises CommandError if the command is wrong."""
+    def start_request(self, arguments: list[bytes], reply: Reply) -> None:
+        """Start a request for a client's command.
+
+        Raises CommandError if the command is invalid or its request id is in use.
+        """
         now = now_us()
         unread_us = now - reply.connection.arrived_us
         self.policy_guard.check()
@@ -108,10 +112,10 @@
             reply,
             now + request.time_left_us,
             self.active.plan_names[request.plan_index],
-            self._traced_policy(),
+            self._policy_digest_to_log(),
         )
         delay_s = (request.time_left_us + BACKSTOP_US) / 1e6
-        exchange.timer = self.loop.call_later(delay_s, self.overdue, request.id)
+        exchange.timer = self.loop.call_later(delay_s, self.fail_unanswered, request.id)
         reply.request_id = request.id
         self.open[request.id] = exchange
         self.open_command_bytes += request.size_bytes
@@ -119,38 +123,38 @@
         self.post(request)
 
     def _max_time_left_us(self) -> int:
-        """How long a request may take that comes now: while this process is sure to live."""
-        if self.last_answer_us is None:
+        """Return the longest time that a new request may take; less if the process is shutting down."""
+        if self.answer_deadline_us is None:
             return MAX_TIME_US
-        return max(0, self.last_answer_us - now_us())
+        return max(0, self.answer_deadline_us - now_us())
 
-    def _traced_policy(self) -> str:
-        """The digest of the policy that requests are admitted by, where that is to be logged, else ""."""
+    def _policy_digest_to_log(self) -> str:
+        """Return the digest of the current policy, "-" if it has none, or "" if admissions are not logged."""
         config = self.active.config
         if not config.traces_policy or not config.policy or self.policy_guard.is_suspended:
             return ""
         return config.policy.digest or "-"
 
-    def client_gone(self, reply: Reply) -> None:
-        """End the request of a client that has disconnected."""
+    def abandon_request(self, reply: Reply) -> None:
+        """Close the request of a client that has disconnected, without an answer."""
         request_id = reply.request_id
         if request_id is None:
             return
-        exchange = self.settle(request_id)
+        exchange = self.close_request(request_id)
         if exchange is None:
             return
         self.post(ClientGone(request_id))
-        if exchange.stream:
-            exchange.stream.cancel()
+        if exchange.streaming_attempt:
+            exchange.streaming_attempt.cancel()
 
-    def overdue(self, request_id: str) -> None:
-        """Answer a request that the decision core left without an answer in time."""
+    def fail_unanswered(self, request_id: str) -> None:
+        """Fail a request that the decision core did not answer in time."""
         if request_id in self.open:
             log.error("request %s was left without an answer", request_id)
-            self.fail_over_fault(request_id)
+            self.fail_on_internal_error(request_id)
 
-    def fail_over_fault(self, request_id: str) -> None:
-        """Fail a request over an internal fault, and have the core forget it."""
+    def fail_on_internal_error(self, request_id: str) -> None:
+        """Answer a request with an error after an internal fault, and remove it from the decision core."""
         if request_id in self.open:
             self.answer(request_id, FAILED_ANSWER, RequestOutcome.ERRORED)
             self.post(ClientGone(request_id))
@@ -158,36 +162,36 @@
     # --- attempts ---
 
     def send(self, action: SendAttempt) -> None:
-        """Start an attempt, or report it as never sent if the request has ended or has had all of its."""
+        """Start an attempt, or report it as not sent if the request has ended or has no attempt left."""
         exchange = self.open.get(action.id)
         if exchange is None or exchange.attempt_count >= self.active.settings.max_attempts:
-            self._report_unsent(action, exchange)
+            self._report_not_sent(action, exchange)
             return
         number = exchange.attempt_count
         exchange.attempt_count += 1
         try:
-            self._begin_attempt(action, exchange, number)
+            self._start_attempt(action, exchange, number)
         except Exception:
-            exchange.in_flight.pop(number, None)  # the core counts it as out until its end is reported
+            exchange.in_flight.pop(number, None)  # the core counts it as in flight until its end is reported
             self.post(AttemptEnded(action.id, False, number, action.server, AttemptResult.NOT_SENT, 0))
             raise
 
-    def _report_unsent(self, action: SendAttempt, exchange: RequestExchange | None) -> None:
-        known = exchange or self.ended.get(action.id)
-        number = known.attempt_count if known else 0
-        if known:
-            known.attempt_count += 1
+    def _report_not_sent(self, action: SendAttempt, exchange: RequestExchange | None) -> None:
+        tracked_exchange = exchange or self.ended.get(action.id)
+        number = tracked_exchange.attempt_count if tracked_exchange else 0
+        if tracked_exchange:
+            tracked_exchange.attempt_count += 1
         self.post(AttemptEnded(action.id, exchange is None, number, action.server, AttemptResult.NOT_SENT, 0))
 
-    def _begin_attempt(self, action: SendAttempt, exchange: RequestExchange, number: int) -> None:
+    def _start_attempt(self, action: SendAttempt, exchange: RequestExchange, number: int) -> None:
         now = now_us()
-        left_us = max(1, exchange.end_us - now)
-        timeout_us = min(left_us, action.timeout_us) if action.timeout_us > 0 else left_us
+        remaining_us = max(1, exchange.deadline_us - now)
+        timeout_us = min(remaining_us, action.timeout_us) if action.timeout_us > 0 else remaining_us
         self.sent[action.server] += 1
         if not number:
             self.queue_waits.note(now_us() - exchange.arrived_us)
             request = exchange.command.request
-            self.spent[request.customer, exchange.plan, request.set_size] += request.units
+            self.spent[request.customer, exchange.plan_name, request.set_size] += request.units
         if exchange.last_result:
             self.retries[exchange.last_result.value] += 1
         attempt = Attempt(
@@ -195,8 +199,8 @@
             number,
             action.server,
             exchange.command.payload,
-            self.attempt_done,
-            self.value_begins,
+            self.handle_attempt_end,
+            self.start_value,
             self.may_send,
         )
         if exchange.buffer_size:
@@ -206,10 +210,10 @@
         self.backends.send(attempt, timeout_us, action.start_within_us)
 
     def may_send(self, attempt: Attempt) -> bool:
-        """Whether an attempt may be written at this instant.
+        """Return whether an attempt may be written to its backend now.
 
-        That its client has left is looked up at the socket: after a long turn of the event loop the end may
-        have come without being read. The rest the core and this class see to before, and the guard counts it.
+        A disconnect of the client is checked at its socket, as it may be unread after a stall of the event
+        loop. The core and this class ensure the other invariants earlier; the guard counts a breach.
         """
         exchange = self.open.get(attempt.request_id)
         if exchange and exchange.reply.end_if_client_left(self.loop_watch.is_suspicious):
@@ -223,53 +227,60 @@
         return refusal is None
 
     def _refusal(self, attempt: Attempt, exchange: RequestExchange | None) -> Refusal | None:
-        """The invariant that the attempt would break, if any."""
+        """Return the invariant that sending the attempt would break, if any."""
         if exchange is None or exchange.in_flight.get(attempt.number) is not attempt:
             return Refusal.REQUEST_ENDED
         if exchange.has_another_in_flight(attempt):
             return Refusal.OVERLAPPING_ATTEMPT
         if attempt.number >= self.active.settings.max_attempts:
             return Refusal.TOO_MANY_ATTEMPTS
-        if now_us() >= exchange.end_us + GUARD_SLACK_US:
+        if now_us() >= exchange.deadline_us + GUARD_SLACK_US:
             return Refusal.PAST_DEADLINE
         return self._repeat_refusal(exchange)
 
     def _repeat_refusal(self, exchange: RequestExchange) -> Refusal | None:
-        """Why what may have run must not be sent again, if so."""
-        rule = self.active.settings.classes[exchange.command.request.class_index]
-        if not exchange.may_have_run_us or rule.idempotency is Idempotency.SAFE:
+        """Return why a request that a backend may have run must not be sent again, or None if it may."""
+        request_class = self.active.settings.classes[exchange.command.request.class_index]
+        if not exchange.first_possible_run_us or request_class.idempotency is Idempotency.SAFE:
             return None
-        if rule.idempotency is Idempotency.UNSAFE:
+        if request_class.idempotency is Idempotency.UNSAFE:
             return Refusal.REPEAT_FORBIDDEN
-        is_in_window = now_us() < exchange.may_have_run_us + rule.dedup_window_us
+        is_in_window = now_us() < exchange.first_possible_run_us + request_class.dedup_window_us
         return None if is_in_window else Refusal.PAST_REPEAT_WINDOW
 
-    def attempt_done(
+    def handle_attempt_end(
         self, attempt: Attempt, result: AttemptResult, value: bytes | None, report: LoadReport | None
     ) -> None:
-        """Report an attempt's one outcome; the first value answers the client and closes the request."""
-        name = attempt.request_id
-        if name in self.open and self.open[name].stream is attempt:
-            self._end_stream(name, result is AttemptResult.OK)
-        elif result is AttemptResult.OK and value is not None and name in self.open:
-            value = bytes(self.open[name].buffer or value)
-            self.answer(name, b"$%d\r\n%b\r\n" % (len(value), value), RequestOutcome.ANSWERED)
-        is_over = name not in self.open
-        exchange = self.ended.get(name) if is_over else self.open[name]
+        """Report an attempt's result to the core.
+
+        The first value answers the client and closes the request.
+        """
+        request_id = attempt.request_id
+        if request_id in self.open and self.open[request_id].streaming_attempt is attempt:
+            self._end_stream(request_id, result is AttemptResult.OK)
+        elif result is AttemptResult.OK and value is not None and request_id in self.open:
+            value = bytes(self.open[request_id].buffer or value)
+            self.answer(request_id, b"$%d\r\n%b\r\n" % (len(value), value), RequestOutcome.ANSWERED)
+        has_ended = request_id not in self.open
+        exchange = self.ended.get(request_id) if has_ended else self.open[request_id]
         if exchange:
             exchange.in_flight.pop(attempt.number, None)
-            if result not in NOT_RUN_RESULTS and not exchange.may_have_run_us:
-                exchange.may_have_run_us = attempt.sent_us
-            if is_over and not exchange.in_flight:
-                del self.ended[name]
+            if result not in NOT_RUN_RESULTS and not exchange.first_possible_run_us:
+                exchange.first_possible_run_us = attempt.sent_us
+            if has_ended and not exchange.in_flight:
+                del self.ended[request_id]
             exchange.last_result = result
         self.tally[result.value] += 1
         self.results[result.value] += 1
-        took_us = now_us() - attempt.sent_us
-        self.post(AttemptEnded(name, is_over, attempt.number, attempt.server, result, took_us, report=report))
+        elapsed_us = now_us() - attempt.sent_us
+        self.post(
+            AttemptEnded(
+                request_id, has_ended, attempt.number, attempt.server, result, elapsed_us, report=report
+            )
+        )
 
     def cancel(self, action: CancelAttempt) -> None:
-        """Cancel an attempt that is out."""
+        """Cancel an attempt if it is in flight."""
         exchange = self.open.get(action.id) or self.ended.get(action.id)
         attempt = exchange.in_flight.get(action.attempt) if exchange else None
         if attempt:
@@ -277,46 +288,51 @@
 
     # --- long values ---
 
-    def value_begins(self, attempt: Attempt, size: int) -> Callable[[bytes], None] | None:
-        """Start to stream a long value to the client; from now on only a break or a stall ends it.
+    def start_value(self, attempt: Attempt, size: int) -> Callable[[bytes], None] | None:
+        """Start to stream a long value to the client and return the consumer of its chunks.
 
-        Returns what takes its pieces, or None if the request has ended or streams another attempt's value.
-        Where answers to further commands are owed behind it, it is kept until it is complete: a break would
-        end the connection, and they would be lost.
+        Returns None if the request has ended, streams another attempt's value, or would buffer the value
+        without room for it. A streamed value has no deadline: it ends early only if the backend's connection
+        or the client's breaks, or if it stalls. The value is buffered until it is complete if later commands
+        on the client's connection are unanswered, as aborting a stream closes the connection and would lose
+        their answers.
         """
         exchange = self.open.get(attempt.request_id)
-        if exchange is None or exchange.stream:
+        if exchange is None or exchange.streaming_attempt:
             return None
         if not exchange.reply.is_last():
             return self._buffer_value(exchange, attempt, size)
         attempt.cancel_timeout()
-        exchange.stream = attempt
+        exchange.streaming_attempt = attempt
         exchange.timer.cancel()
         exchange.timer = self.loop.call_later(SEND_STALL_TIMEOUT_S, self._check_stall, attempt.request_id)
-        took_us = now_us() - attempt.sent_us
-        self.post(StreamStarted(attempt.request_id, attempt.number, attempt.server, took_us))
+        elapsed_us = now_us() - attempt.sent_us
+        self.post(StreamStarted(attempt.request_id, attempt.number, attempt.server, elapsed_us))
         exchange.reply.begin(b"$%d\r\n" % size, attempt)
         return exchange.reply.append
 
     def _buffer_value(
         self, exchange: RequestExchange, attempt: Attempt, size: int
     ) -> Callable[[bytes], None] | None:
-        """Keep a long value until it is complete, where there is room for it; what takes its pieces."""
+        """Buffer a long value until it is complete and return the consumer of its chunks.
+
+        Returns None if there is no room for the value.
+        """
         if self.buffered_bytes + size > self.clients.backlog.limit_bytes:
-            log.warning("no room for the long value of request %s", attempt.request_id)
+            log.warning("long value refused reason=buffer-full request=%s", attempt.request_id)
             return None
         buffer = bytearray()
         exchange.buffer = buffer
         exchange.buffer_size = size
         self.buffered_bytes += size
 
-        def append_piece(piece: bytes) -> None:
+        def append_chunk(chunk: bytes) -> None:
             if attempt.request_id in self.open:
-                buffer.extend(piece)
+                buffer.extend(chunk)
             else:
                 attempt.cancel()
 
-        return append_piece
+        return append_chunk
 
     def _free_buffer(self, exchange: RequestExchange) -> None:
         self.buffered_bytes -= exchange.buffer_size
@@ -327,19 +343,21 @@
         exchange = self.open.get(request_id)
         if exchange is None:
             return
-        left_s = exchange.reply.progress_s + SEND_STALL_TIMEOUT_S - self.clients.clock()
-        if left_s > 0:
-            exchange.timer = self.loop.call_later(left_s, self._check_stall, request_id)
+        remaining_s = exchange.reply.progress_s + SEND_STALL_TIMEOUT_S - self.clients.clock()
+        if remaining_s > 0:
+            exchange.timer = self.loop.call_later(remaining_s, self._check_stall, request_id)
         else:
             log.warning(
-                "cut the value of request %s, which did not move for %.0f s", request_id, SEND_STALL_TIMEOUT_S
+                "long value aborted reason=stalled request=%s stalled_s=%.0f",
+                request_id,
+                SEND_STALL_TIMEOUT_S,
             )
-            exchange.stream.cancel()
+            exchange.streaming_attempt.cancel()
 
-    def _end_stream(self, request_id: str, is_whole: bool) -> None:
-        exchange = self.settle(request_id)
-        self._note(exchange, RequestOutcome.ANSWERED if is_whole else RequestOutcome.ERRORED)
-        if is_whole:
+    def _end_stream(self, request_id: str, is_complete: bool) -> None:
+        exchange = self.close_request(request_id)
+        self._record_outcome(exchange, RequestOutcome.ANSWERED if is_complete else RequestOutcome.ERRORED)
+        if is_complete:
             exchange.reply.send(b"\r\n")
         else:
             exchange.reply.cut()
@@ -347,9 +365,9 @@
     # --- answers ---
 
     def reject(self, action: Reject) -> None:
-        """Answer that the gateway is busy, with the time after which to retry if there is one.
+        """Answer BUSY, with the Retry-After time in milliseconds if the action has one.
 
-        It is rounded up: a retry before that gains nothing.
+        The time is rounded up, as an earlier retry would be rejected again.
         """
         wait_ms = math.ceil(action.retry_after_us / US_PER_MS)
         line = b"-BUSY %d\r\n" % wait_ms if wait_ms > 0 else b"-BUSY\r\n"
@@ -360,26 +378,26 @@
         self.answer(action.id, FAILED_ANSWER, RequestOutcome.ERRORED)
 
     def answer(self, request_id: str, data: bytes, outcome: RequestOutcome) -> None:
-        """Send the complete answer, unless the request has had one."""
-        exchange = self.settle(request_id)
+        """Send the complete answer and close the request, unless it is closed already."""
+        exchange = self.close_request(request_id)
         if exchange:
-            self._note(exchange, outcome)
+            self._record_outcome(exchange, outcome)
             exchange.reply.send(data)
 
-    def _note(self, exchange: RequestExchange, outcome: RequestOutcome) -> None:
+    def _record_outcome(self, exchange: RequestExchange, outcome: RequestOutcome) -> None:
         request = exchange.command.request
         self.figures.note(self.active.class_names[request.class_index], outcome)
-        if exchange.policy:
+        if exchange.policy_digest:
             log.info(
                 "request %s %s by policy %s, taken at %d us",
                 request.id,
                 outcome,
-                exchange.policy,
+                exchange.policy_digest,
                 exchange.arrived_us,
             )
 
-    def settle(self, request_id: str) -> RequestExchange | None:
-        """End what is owed on a request and withdraw its unwritten attempts; None if it has ended already."""
+    def close_request(self, request_id: str) -> RequestExchange | None:
+        """Close a request and withdraw its unwritten attempts; return None if it is not open."""
         exchange = self.open.pop(request_id, None)
         if exchange is None:
             return None
@@ -393,5 +411,5 @@
         if exchange.in_flight:
             self.ended[request_id] = exchange
         for attempt in [attempt for attempt in exchange.in_flight.values() if not attempt.was_written]:
-            attempt.withdraw()  # nothing is begun for a client that has left or has its answer
+            attempt.withdraw()  # no attempt is written once the client has its answer or has disconnected
         return exchange
--- a/orchidhatch/proxy/server.py
+++ b/orchidhatch/proxy/server.py
@@ -92,9 +92,9 @@
         self._create_endpoint_watch(config)
         self._create_process(config)
         self._create_operations(config, writer)
-        self.requests.connect(self.clients, self.backends, self.policy_guard)
+        self.requests.set_collaborators(self.clients, self.backends, self.policy_guard)
         self.operator_drain.connect(self.policy_guard)
-        self.dispatcher.connect(self.action_handlers(), self.requests.fail_over_fault)
+        self.dispatcher.set_handlers(self.action_handlers(), self.requests.fail_on_internal_error)
 
     def _create_connections(self, config: Config) -> None:
         sockets = max(MIN_SOCKETS, self.max_descriptors) - SPARE_SOCKETS
@@ -109,8 +109,8 @@
         )
         self.clients = Clients(
             max_clients,
-            self.requests.take,
-            self.requests.client_gone,
+            self.requests.start_request,
+            self.requests.abandon_request,
             self.account,
             self.guard,
             self.loop_watch,
--- a/tests/proxy/gateway_scripts.py
+++ b/tests/proxy/gateway_scripts.py
@@ -34,14 +34,14 @@
 
 def run_behind_next_request(gateway: GatewayServer, what: Callable[[], None]) -> None:
     """Have it come in right behind the next request, before the decision core handles that."""
-    take = gateway.clients.take
+    start_request = gateway.clients.start_request
 
     def taken(arguments: list[bytes], reply: Reply) -> None:
-        gateway.clients.take = take
-        take(arguments, reply)
+        gateway.clients.start_request = start_request
+        start_request(arguments, reply)
         what()
 
-    gateway.clients.take = taken
+    gateway.clients.start_request = taken
 
 
 async def warm_up(gateway: GatewayServer, client: Client, *backends: Backend) -> None:
--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -49,7 +49,7 @@
             def broken(arguments: list[bytes], reply: object) -> None:
                 raise RuntimeError("a fault of ours")
 
-            gateway.clients.take = broken
+            gateway.clients.start_request = broken
             client.send(query("a2"))
             answers = [await client.answer() for _ in range(3)]
             assert answers == ["-ERR failed", "-ERR failed", "-ERR internal error"]
--- a/tests/proxy/test_closing_races.py
+++ b/tests/proxy/test_closing_races.py
@@ -52,7 +52,9 @@
         first.writers[0].transport.abort()
         while not all(one.commands for one in backends):
             await asyncio.sleep(0)
-        left_ms = (gateway.requests.open["a1"].end_us - gateway.requests.open["a1"].arrived_us) / 1000 - 100
+        left_ms = (
+            gateway.requests.open["a1"].deadline_us - gateway.requests.open["a1"].arrived_us
+        ) / 1000 - 100
         second = next(one for one in backends if one is not first)
         assert stated_ms(second.commands[0]) <= left_ms
         second.writers[0].write(value(b"ok"))
--- a/tests/proxy/test_graceful_drain.py
+++ b/tests/proxy/test_graceful_drain.py
@@ -77,7 +77,7 @@
         half.send(query("c1")[-1:])
         while len(backend.commands) < 2:
             await asyncio.sleep(0)
-        left_us = gateway.requests.open["c1"].end_us - gateway.requests.open["c1"].arrived_us
+        left_us = gateway.requests.open["c1"].deadline_us - gateway.requests.open["c1"].arrived_us
         assert left_us <= process_lifecycle.MOST_DEADLINE_US + process_lifecycle.KILL_AFTER_US
         assert "a2" not in gateway.requests.open
         for writer in backend.writers:
--- a/tests/proxy/test_guards.py
+++ b/tests/proxy/test_guards.py
@@ -201,15 +201,17 @@
 
 @pytest.mark.refusals
 @pytest.mark.parametrize(
-    ("command", "may_have_run_us", "refusal"),
+    ("command", "first_possible_run_us", "refusal"),
     [
         (submit("a1"), 1, Refusal.REPEAT_FORBIDDEN),
         (submit("a1", kind="book"), 1, Refusal.PAST_REPEAT_WINDOW),
     ],
 )
-async def test_forbidden_repeat_is_refused(command: bytes, may_have_run_us: int, refusal: Refusal) -> None:
+async def test_forbidden_repeat_is_refused(
+    command: bytes, first_possible_run_us: int, refusal: Refusal
+) -> None:
     async with held_request(command) as (gateway, exchange, backend):
-        exchange.may_have_run_us = may_have_run_us
+        exchange.first_possible_run_us = first_possible_run_us
         gateway.requests.send(SendAttempt("a1", "s0"))
         await until(lambda: gateway.guard.refusals)
         assert gateway.guard.refusals == {refusal: 1}
@@ -220,11 +222,11 @@
 @pytest.mark.refusals
 async def test_attempt_past_deadline_or_maximum_is_refused() -> None:
     async with held_request(query("a1")) as (gateway, exchange, _):
-        deadline_us, exchange.end_us = exchange.end_us, 1
+        deadline_us, exchange.deadline_us = exchange.deadline_us, 1
         attempt = Attempt("a1", 0, "s0", lambda _: b"", lambda *_: None, may_send=gateway.requests.may_send)
         exchange.in_flight[0] = attempt
         assert not gateway.requests.may_send(attempt)
-        exchange.end_us, exchange.in_flight = deadline_us, {9: attempt}
+        exchange.deadline_us, exchange.in_flight = deadline_us, {9: attempt}
         attempt.number = 9
         assert not gateway.requests.may_send(attempt)
         exchange.in_flight = {}
@@ -282,7 +284,7 @@
     async with front_door(backend) as (gateway, address):
         client = await Client.open(address)
         client.send(query("a1"))
-        await until(lambda: any(one.stream for one in gateway.requests.open.values()))
+        await until(lambda: any(one.streaming_attempt for one in gateway.requests.open.values()))
         client.send(query("a2"))
         await turns()
         assert list(gateway.requests.open) == ["a1"]
--- a/tests/proxy/test_long_values.py
+++ b/tests/proxy/test_long_values.py
@@ -75,7 +75,7 @@
         client = await Client.open(address)
         client.send(query("a1"))
         await until(lambda: backend.writers)
-        await until(lambda: not gateway.requests.open or gateway.requests.open["a1"].stream)
+        await until(lambda: not gateway.requests.open or gateway.requests.open["a1"].streaming_attempt)
         if not end:
             backend.writers[0].transport.abort()
         with pytest.raises((EOFError, ConnectionError)):
