--- a/orchidhatch/proxy/attempt.py
+++ b/orchidhatch/proxy/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request at one backend, from its start until its one outcome."""
+"""One attempt of a request at one backend, from its start to its single reported outcome."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,27 +10,27 @@
 from orchidhatch.proxy import socket_inspection
 from orchidhatch.proxy.clock import now_us
 
-ANSWER_READ_S = 0.005
-"""How long a time-out waits for an answer that has come and was not read yet."""
+UNREAD_REPLY_GRACE_S = 0.005
+"""Extra time that a timed-out attempt gets where its reply was received but not read yet."""
 
-Done = Callable[["Attempt", AttemptResult, bytes | None, LoadReport | None], None]
-StreamBegan = Callable[["Attempt", int], Callable[[bytes], None] | None]
-Encode = Callable[[int], bytes]
-"""The command's bytes, by the microseconds that the gateway will wait for its answer."""
+OnDone = Callable[["Attempt", AttemptResult, bytes | None, LoadReport | None], None]
+OnStreamBegun = Callable[["Attempt", int], Callable[[bytes], None] | None]
+EncodeCommand = Callable[[int], bytes]
+"""Encodes the command; the argument is how many microseconds the gateway will wait for the reply."""
 MaySend = Callable[["Attempt"], bool]
 
 
 class AttemptState(Enum):
-    """How far an attempt has come; TRANSITIONS has the changes."""
+    """The progress of an attempt; TRANSITIONS lists the allowed changes."""
 
     PENDING = "pending"
-    """Waits for a connection, or is being written: the backend cannot have run it."""
+    """Waiting for a connection, or not fully written: the backend cannot have executed it."""
     WRITTEN = "written"
-    """Its last byte was handed to the kernel: the backend may have run it."""
+    """The last byte was handed to the kernel: the backend may have executed it."""
     ABANDONED = "abandoned"
-    """Nobody waits for its reply; it ends when its connection is closed."""
+    """No longer waiting for the reply; it ends when its connection is closed."""
     ENDED = "ended"
-    """Its one outcome was reported."""
+    """The outcome was reported."""
 
 
 TRANSITIONS = {
@@ -39,54 +39,55 @@
     AttemptState.ABANDONED: {AttemptState.ENDED},
     AttemptState.ENDED: set[AttemptState](),
 }
-"""From each state, the states that may follow."""
+"""For each state, the states that may follow."""
 
 
 @dataclass(frozen=True, slots=True)
 class AbandonedAttempt:
-    """An attempt that ends with its connection, and how."""
+    """An attempt that ends when its connection is closed, and the result to report then."""
 
     attempt: "Attempt"
     result: AttemptResult
 
 
 class AttemptConnection(Protocol):
-    """The connection that an attempt is on."""
+    """The connection that an attempt is sent on."""
 
     attempt: "Attempt | None"
     abandoned: AbandonedAttempt | None
     transport: Any
 
     def is_usable(self) -> bool:
-        """Whether it is open."""
+        """Return whether the connection is open."""
 
     def abort(self) -> None:
-        """Close it at once."""
+        """Close the connection at once."""
 
 
 class AttemptPool(Protocol):
-    """The connections to the attempt's backend."""
+    """The connection pool of the attempt's backend."""
 
     owner: Any
 
     def suspect_idle_connections(self, since_us: int) -> None:
-        """The machine may have vanished, if nothing was received since then."""
+        """Distrust the idle connections if nothing was received since `since_us`: the machine may be down."""
 
     def fails_locally(self) -> bool:
-        """Whether dials fail now for a reason on this machine."""
+        """Return whether dials currently fail for a reason on this machine."""
 
 
-def no_stream(attempt: "Attempt", size: int) -> None:
-    """Take no long value."""
+def decline_stream(attempt: "Attempt", size: int) -> None:
+    """Decline a long value."""
 
 
 class Attempt:
-    """One command for one backend; `on_done` is called once, with how it ended.
+    """One command for one backend; `on_done` is called exactly once, with the outcome.
 
-    `may_send` is asked at the instant at which the command would be written, `encode` gives its bytes then.
-    `on_stream_begun` is told the size of a long value, and gives what takes its pieces, if it is wanted.
-    Times are microseconds of the process's clock. An attempt may be sent until `deadline_us`, and, where that
-    is not 0, before `start_by_us`: after it, what the attempt repeats is forgotten at the backend.
+    `may_send` is called just before the command is written; if it agrees, `encode` returns the command's
+    bytes. `on_stream_begun` is called with the size of a long value and returns the consumer of its pieces,
+    or None if the value is not wanted. Times are in microseconds of the process's clock. The attempt may be
+    written until `deadline_us` and, unless that is 0, before `start_by_us`: after that the backend may have
+    forgotten the earlier attempt that this one repeats.
     """
 
     __slots__ = (
@@ -113,9 +114,9 @@
         request_id: str,
         number: int,
         server: str,
-        encode: Encode,
-        on_done: Done,
-        on_stream_begun: StreamBegan = no_stream,
+        encode: EncodeCommand,
+        on_done: OnDone,
+        on_stream_begun: OnStreamBegun = decline_stream,
         may_send: MaySend = lambda attempt: True,
     ) -> None:
         self.request_id = request_id
@@ -128,11 +129,11 @@
         self.state = AttemptState.PENDING
         self.sent_us = now_us()
         self.written_us = 0
-        """When its last byte was handed to the kernel; 0 before that."""
+        """When the last byte was handed to the kernel; 0 before that."""
         self.deadline_us = 0
         self.start_by_us = 0
         self.deferrals = 0
-        """How often it has waited for unread endpoint list events."""
+        """How many event loop turns it has waited for unread endpoint list events."""
         self.connection: AttemptConnection | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.pool: AttemptPool | None = None
@@ -140,45 +141,45 @@
     # --- state ---
 
     def _enter(self, state: AttemptState) -> None:
-        """Change the state. Raises ValueError for what is no transition."""
+        """Change the state. Raises ValueError if the transition is not allowed."""
         if state not in TRANSITIONS[self.state]:
             raise ValueError(f"attempt state {self.state.value} cannot become {state.value}")
         self.state = state
 
     @property
     def has_ended(self) -> bool:
-        """Whether its outcome was reported."""
+        """Whether the outcome was reported."""
         return self.state is AttemptState.ENDED
 
     @property
     def was_written(self) -> bool:
-        """Whether its last byte was handed to the kernel, also if it was abandoned since."""
+        """Whether the last byte was handed to the kernel; stays true after abandonment."""
         return self.written_us > 0
 
     def mark_written(self) -> None:
-        """Note that its last byte was handed to the kernel."""
+        """Record that the last byte was handed to the kernel."""
         self._enter(AttemptState.WRITTEN)
         self.written_us = now_us()
 
     def finish(
         self, result: AttemptResult, value: bytes | None = None, report: LoadReport | None = None
     ) -> None:
-        """Report the outcome, unless it has been reported."""
+        """Report the outcome, unless one was reported already."""
         if self.has_ended:
             return
         self._enter(AttemptState.ENDED)
         if self.timer:
             self.timer.cancel()
         if self.was_written:
-            self.pool.owner.answer_waits.note(now_us() - self.written_us)
+            self.pool.owner.reply_waits.note(now_us() - self.written_us)
         self.on_done(self, result, value, report)
 
     def finish_unanswered(self) -> None:
-        """Report that its connection was lost before a reply."""
+        """Report that the connection was lost before a complete reply."""
         self.finish(AttemptResult.RESET if self.was_written else AttemptResult.CONNECT_FAILED)
 
     def is_sendable(self) -> bool:
-        """Whether it may be written at this instant; otherwise it has ended."""
+        """Return whether the command may be written now; if not, the attempt is ended."""
         if self.has_ended:
             return False
         now = now_us()
@@ -193,60 +194,60 @@
         return False
 
     def payload(self, now: int) -> bytes:
-        """The command as it is to be written now, in microseconds of the process's clock."""
+        """Return the command's bytes for writing at `now`, in microseconds of the process's clock."""
         return self.encode(max(1, self.deadline_us - now))
 
     def begin_stream(self, size: int) -> Callable[[bytes], None] | None:
-        """Report that a long value begins to come; what takes its pieces, if it is wanted."""
+        """Report the start of a long value; return the consumer of its pieces, None if it is not wanted."""
         return self.on_stream_begun(self, size)
 
     def cancel_timeout(self) -> None:
-        """From now on it is not given up over time."""
+        """Stop the attempt's timeout; from now on it may take any time."""
         if self.timer:
             self.timer.cancel()
 
     def pause(self) -> None:
-        """Read no more of its value for now, so that the backend waits too."""
+        """Stop reading the streamed value for now, which makes the backend wait too."""
         if self.connection and self.connection.is_usable():
             self.connection.transport.pause_reading()
 
     def resume(self) -> None:
-        """Read on after a pause."""
+        """Continue reading after a pause."""
         if self.connection and self.connection.is_usable():
             self.connection.transport.resume_reading()
 
-    # --- ends before an answer ---
+    # --- ends before a reply ---
 
     def cancel(self) -> None:
-        """Stop waiting for it."""
-        self.give_up(AttemptResult.CANCELLED)
+        """Stop waiting for the reply."""
+        self.abandon(AttemptResult.CANCELLED)
 
-    def start_window_has_passed(self) -> bool:
-        """Whether it must not be started any more, as what it repeats is forgotten at the backend."""
+    def is_start_window_over(self) -> bool:
+        """Return whether it is too late to send: the backend may have forgotten what the attempt repeats."""
         return bool(self.start_by_us) and not self.was_written and now_us() >= self.start_by_us
 
     def expire_start_window(self) -> None:
-        """End it if it must not be started any more."""
-        if self.start_window_has_passed():
-            self.give_up(AttemptResult.CONNECT_FAILED)
+        """End the attempt if it is too late to send it."""
+        if self.is_start_window_over():
+            self.abandon(AttemptResult.CONNECT_FAILED)
 
     def withdraw(self) -> None:
-        """Nobody waits for it any more and it was not written whole, so it is nobody's yet."""
-        self.give_up(AttemptResult.NOT_SENT)
+        """End an attempt that is no longer needed; as it was not fully written, it counts as not sent."""
+        self.abandon(AttemptResult.NOT_SENT)
 
-    def write_stalled(self) -> None:
-        """End it if it is not written whole by now: the deadline that it states would be read too late."""
+    def fail_stalled_write(self) -> None:
+        """End the attempt if it is not fully written: the backend would read an outdated time limit."""
         if not self.was_written:
-            self.give_up(AttemptResult.CONNECT_FAILED)
+            self.abandon(AttemptResult.CONNECT_FAILED)
 
     def time_out(self) -> None:
-        """End it over its time, unless its reply has come and is only to be read."""
-        if self.was_written and self._answer_is_unread():
-            self.timer = asyncio.get_running_loop().call_later(ANSWER_READ_S, self._time_out_now)
+        """End the attempt at its deadline, but first read a reply that has already been received."""
+        if self.was_written and self._is_reply_unread():
+            self.timer = asyncio.get_running_loop().call_later(UNREAD_REPLY_GRACE_S, self._time_out_now)
         else:
             self._time_out_now()
 
-    def _answer_is_unread(self) -> bool:
+    def _is_reply_unread(self) -> bool:
         connection = self.connection
         if connection is None or not connection.is_usable():
             return False
@@ -254,21 +255,21 @@
 
     def _time_out_now(self) -> None:
         if not self.was_written:
-            self.give_up(self._unsent_result())
+            self.abandon(self._unsent_result())
             return
         self.pool.suspect_idle_connections(self.sent_us)
         self.pool.owner.timed_out += 1
-        self.give_up(AttemptResult.TIMEOUT)
+        self.abandon(AttemptResult.TIMEOUT)
 
     def _unsent_result(self) -> AttemptResult:
         is_local = self.pool is None or self.pool.fails_locally()
         return AttemptResult.LOCAL_FAILURE if is_local else AttemptResult.CONNECT_FAILED
 
-    def give_up(self, result: AttemptResult) -> None:
-        """End it before its reply.
+    def abandon(self, result: AttemptResult) -> None:
+        """End the attempt before its reply.
 
-        Where it is on a connection, its end is reported when that is closed and no sooner: it is in flight
-        until then, and what comes next may be the request's next attempt.
+        If it is on a connection, the outcome is reported only when that connection has closed: until then the
+        attempt is in flight, and the report may trigger the request's next attempt.
         """
         if self.state in (AttemptState.ABANDONED, AttemptState.ENDED):
             return
@@ -282,4 +283,4 @@
         connection.abandoned = AbandonedAttempt(self, result)
         if self.timer:
             self.timer.cancel()
-        connection.abort()  # a reply is still due on it, so it must never be used again
+        connection.abort()  # the reply may still arrive on it, so it must not be reused
--- a/orchidhatch/proxy/backend_connection.py
+++ b/orchidhatch/proxy/backend_connection.py
@@ -1,7 +1,7 @@
-"""One connection to a backend, with at most one command on it.
+"""One connection to a backend, with at most one command in flight.
 
-Whether an attempt may have run is decided here, and only by whether its last byte was handed to the kernel:
-before that it never ran, after that it may have.
+This module alone decides whether an attempt may have run: it may have once its last byte was handed to the
+kernel, and cannot have before that.
 """
 
 import asyncio
@@ -21,29 +21,29 @@
 log = logging.getLogger(__name__)
 
 MAX_VALUE_BYTES = 1 << 16
-"""The largest value of the protocol that is kept whole."""
+"""The largest value that is buffered whole."""
 MAX_REPLY_BYTES = 2 * MAX_VALUE_BYTES
-"""A value with its figures and the load report."""
+"""A value with its array framing and the load report."""
 MAX_LONG_VALUE_BYTES = 4 << 20
-"""A value above MAX_VALUE_BYTES is passed on as it comes."""
+"""A value above MAX_VALUE_BYTES is streamed to the client."""
 READ_BUFFER_BYTES = 32 * 1024
-"""Bytes read at once; as much of each long value may wait for its client."""
+"""Bytes per read; up to as many of each long value may be buffered for its client."""
 WRITE_TIMEOUT_S = 0.1
-"""A command states the client's time left as of its encoding, so it must not be written much later."""
+"""A command states the time left when it was encoded, so it must not be written much later."""
 
 INCOMPLETE_REPLY = object()
 
 
 class BackendConnectionState(Enum):
-    """What a connection is doing; TRANSITIONS has the changes."""
+    """The activity of a connection; TRANSITIONS lists the allowed changes."""
 
     CONNECTING = "connecting"
     IDLE = "idle"
-    """Open, with no command on it; in its pool, or about to be."""
+    """Open, without a command; in its pool, or about to be."""
     BUSY = "busy"
-    """A command is being written, or was written and its reply is due."""
+    """A command is being written or awaits its reply."""
     STREAMING = "streaming"
-    """The reply is a long value, whose pieces are passed on."""
+    """The reply is a long value, whose pieces are being forwarded."""
     CLOSED = "closed"
     """Closed from this side, or lost."""
 
@@ -59,11 +59,11 @@
     BackendConnectionState.STREAMING: {BackendConnectionState.IDLE, BackendConnectionState.CLOSED},
     BackendConnectionState.CLOSED: set[BackendConnectionState](),
 }
-"""From each state, the states that may follow; a closed connection stays closed."""
+"""For each state, the states that may follow; a closed connection stays closed."""
 
 
 class ConnectionOwner(Protocol):
-    """What connections to all backends share."""
+    """The state that the connections to all backends share."""
 
     account: CpuAccounting
     idle_limit: IdleLimit
@@ -80,13 +80,13 @@
     last_received_us: int
 
     def connection_ready(self, connection: "BackendConnection") -> None:
-        """A connection has come up, or has nothing on it any more."""
+        """Accept a connection that was established or has no command any more."""
 
     def discard(self, connection: "BackendConnection") -> None:
-        """A connection is closed, or about to be."""
+        """Remove a connection that is closed or about to be closed."""
 
     def suspect_idle_connections(self, since_us: int) -> None:
-        """An attempt was reset: the backend may have vanished, if nothing was received since then."""
+        """Distrust the idle connections if nothing was received since `since_us`: the machine may be down."""
 
 
 class BackendConnection(asyncio.BufferedProtocol):
@@ -100,12 +100,12 @@
         """Whether the last dial failed for a reason on this machine."""
         self.attempt: Attempt | None = None
         self.abandoned: AbandonedAttempt | None = None
-        """What was on it when it was aborted; it ends with the connection."""
+        """The attempt that was in flight when the connection was aborted; ends when the connection closes."""
         self.reader = ReplyReader(MAX_VALUE_BYTES, MAX_LONG_VALUE_BYTES)
         self.received_bytes = 0
-        """Of the current reply, without a long value."""
-        self.take_piece: Callable[[bytes], None] | None = None
-        """Takes the pieces of a long value; while streaming."""
+        """Bytes of the current reply, without a long value."""
+        self.on_piece: Callable[[bytes], None] | None = None
+        """The consumer of a long value's pieces; None unless streaming."""
         self.remaining_value_bytes = 0
         self.has_unsent_bytes = False
         self.use_count = 0
@@ -115,7 +115,7 @@
     # --- state ---
 
     def _enter(self, state: BackendConnectionState) -> None:
-        """Change the state; a closed connection stays closed. Raises ValueError for what is no transition."""
+        """Change the state; a closed connection stays closed. Raises ValueError if it is not allowed."""
         if self.state is BackendConnectionState.CLOSED:
             return
         if state not in TRANSITIONS[self.state]:
@@ -123,35 +123,35 @@
         self.state = state
 
     def is_usable(self) -> bool:
-        """Whether it is open on both sides, as far as this side knows."""
+        """Return whether the connection is open as far as this side knows."""
         return self.transport is not None and not self.transport.is_closing()
 
-    # --- callbacks of the event loop ---
+    # --- event loop callbacks ---
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """The dial has succeeded."""
+        """Record that the connection is established."""
         self.transport = transport
-        # With no room for buffering, `pause_writing` reports that bytes are left, and `resume_writing` that
-        # none are.
+        # With a limit of 0, the loop calls `pause_writing` when any bytes are left unwritten, and
+        # `resume_writing` when none are.
         transport.set_write_buffer_limits(0)
         self._enter(BackendConnectionState.IDLE)
 
     def pause_writing(self) -> None:
-        """Bytes of a command are left that the kernel has not taken."""
+        """Record that the kernel has not accepted all bytes of the command."""
         self.has_unsent_bytes = True
 
     def resume_writing(self) -> None:
-        """The kernel has taken everything."""
+        """Record that the kernel has accepted all bytes."""
         self.has_unsent_bytes = False
         if self.attempt and not self.attempt.was_written and not self.transport.is_closing():
             self._command_written(self.attempt)
 
     def get_buffer(self, size_hint: int) -> memoryview:
-        """The one read buffer of all connections: what is read is taken over before another one reads."""
+        """Return the read buffer that all connections share; each read is copied out before the next one."""
         return self.pool.owner.read_buffer
 
     def buffer_updated(self, size: int) -> None:
-        """So many bytes were read into the buffer."""
+        """Handle the `size` bytes that were read into the buffer."""
         account = self.pool.owner.account
         previous_category = account.enter(CostCategory.BACKENDS)
         try:
@@ -160,28 +160,28 @@
             account.leave(previous_category)
 
     def data_received(self, data: bytes) -> None:
-        """Read a reply's bytes; a reply that is whole ends its attempt."""
+        """Process bytes of a reply; a complete reply ends its attempt."""
         self.pool.last_received_us = now_us()
         if self.remaining_value_bytes:
-            data = self._pass_on(data)
+            data = self._forward_value(data)
         self.received_bytes += len(data)
         attempt = self.attempt
         if attempt is None or self.received_bytes > MAX_REPLY_BYTES:
             self.abort()
             return
         self.reader.feed(data)
-        if self.take_piece is None and not self._begin_long_value(attempt):
+        if self.on_piece is None and not self._begin_long_value(attempt):
             return
         if self.remaining_value_bytes or attempt.has_ended:
             return
         self._read_reply(attempt)
 
     def eof_received(self) -> None:
-        """No reply can come any more. Without the abort the loop would wait until all is written."""
+        """Abort, as no reply can come any more; a plain close would first wait for pending writes."""
         self.transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """End what was on the connection."""
+        """End the attempt that was in flight on the connection."""
         self._enter(BackendConnectionState.CLOSED)
         self.pool.discard(self)
         attempt = self.attempt
@@ -194,7 +194,7 @@
     # --- a command and its reply ---
 
     def send(self, attempt: Attempt) -> None:
-        """Write the attempt's command; only `BackendPool.dispatch` calls this."""
+        """Write the attempt's command; called by `BackendPool.dispatch` only."""
         assert self.transport is not None
         self._enter(BackendConnectionState.BUSY)
         self.attempt = attempt
@@ -205,7 +205,7 @@
         self.idle_before_use_us = now - self.idle_since_us
         self.transport.write(attempt.payload(now))
         if self.has_unsent_bytes:
-            asyncio.get_running_loop().call_later(WRITE_TIMEOUT_S, attempt.write_stalled)
+            asyncio.get_running_loop().call_later(WRITE_TIMEOUT_S, attempt.fail_stalled_write)
         else:
             self._command_written(attempt)
 
@@ -214,34 +214,34 @@
         self.pool.owner.sends += 1
 
     def _begin_long_value(self, attempt: Attempt) -> bool:
-        """Begin to pass on a long value, if the reply has one; False where the attempt ended over it."""
-        long_value = self.reader.begin_long()
+        """Start to stream a long value if the reply has one; return False if nobody wants the value."""
+        long_value = self.reader.begin_long_value()
         if not long_value:
             return True
         self.remaining_value_bytes, first_piece = long_value
-        self.take_piece = attempt.begin_stream(self.remaining_value_bytes)
-        if self.take_piece is None:
-            attempt.cancel()  # nobody waits for it any more
+        self.on_piece = attempt.begin_stream(self.remaining_value_bytes)
+        if self.on_piece is None:
+            attempt.cancel()  # the request has ended
             return False
         self._enter(BackendConnectionState.STREAMING)
-        self._pass_on(first_piece)
+        self._forward_value(first_piece)
         return True
 
-    def _pass_on(self, data: bytes) -> bytes:
-        """Hand on what belongs to a long value; the rest of the data."""
+    def _forward_value(self, data: bytes) -> bytes:
+        """Forward the part of `data` that belongs to the long value; return the remainder."""
         piece = data[: self.remaining_value_bytes]
-        rest = data[self.remaining_value_bytes :]
+        remainder = data[self.remaining_value_bytes :]
         self.remaining_value_bytes -= len(piece)
         if not self.remaining_value_bytes:
             self.received_bytes = 0
-            self.reader.end_long()
-        self.take_piece(piece)
-        return rest
+            self.reader.end_long_value()
+        self.on_piece(piece)
+        return remainder
 
     def _read_reply(self, attempt: Attempt) -> None:
-        """End the attempt if its reply is whole, and free the connection if nothing else is on it."""
+        """End the attempt if its reply is complete, and return the connection to its pool if it is clean."""
         try:
-            reply = self.reader.gets(INCOMPLETE_REPLY)
+            reply = self.reader.next_reply(INCOMPLETE_REPLY)
         except ProtocolError as error:
             log.error("backend reply malformed: server=%s error=%s", self.pool.name, error)
             self.abort()
@@ -250,8 +250,8 @@
             return
         self.attempt = None
         attempt.connection = None
-        self.take_piece = None
-        self._note_use(was_reset=False)
+        self.on_piece = None
+        self._record_reuse(was_reset=False)
         if self.reader.has_data() or not attempt.was_written:
             self.abort()
         else:
@@ -262,25 +262,25 @@
     def _end_reset_attempt(self, attempt: Attempt) -> None:
         attempt.connection = None
         self.pool.owner.tally["reset on reuse" if self.use_count > 1 else "reset on first use"] += 1
-        self._note_use(was_reset=not self.received_bytes)
+        self._record_reuse(was_reset=not self.received_bytes)
         self.pool.suspect_idle_connections(now_us())
         attempt.finish_unanswered()
 
-    def _note_use(self, was_reset: bool) -> None:
-        """Learn for how long an idle connection may be trusted."""
+    def _record_reuse(self, was_reset: bool) -> None:
+        """Record whether the connection was reset after its idle time, to adjust the idle limit."""
         if self.use_count > 1:
-            self.pool.owner.idle_limit.note(self.idle_before_use_us, was_reset)
+            self.pool.owner.idle_limit.record_use(self.idle_before_use_us, was_reset)
 
     # --- ends ---
 
     def close(self) -> None:
-        """Close a connection with nothing on it."""
+        """Close a connection that has no command."""
         if self.transport:
             self._enter(BackendConnectionState.CLOSED)
             self.transport.close()
 
     def abort(self) -> None:
-        """Close at once; `close` would first send what is still buffered, and so let the attempt run."""
+        """Close at once; `close` would first send buffered bytes, and so might let the attempt run."""
         self.pool.discard(self)
         if self.transport:
             self._enter(BackendConnectionState.CLOSED)
--- a/orchidhatch/proxy/backend_pool.py
+++ b/orchidhatch/proxy/backend_pool.py
@@ -1,4 +1,4 @@
-"""The connections to one backend: dialling, reuse, and the attempts that wait for one."""
+"""The connections to one backend: dialling, reuse, and the attempts that wait for a connection."""
 
 import asyncio
 import logging
@@ -21,11 +21,11 @@
 log = logging.getLogger(__name__)
 
 REUSE_DELAY_US = 50_000
-"""A malformed reply may be followed by another, late one, which must not meet the next command."""
+"""A malformed reply may be followed by further late bytes, which must not be read as the next reply."""
 
 
 class PoolOwner(Protocol):
-    """What the pools of all backends share."""
+    """The state that the pools of all backends share."""
 
     account: CpuAccounting
     guard: Guard
@@ -36,62 +36,62 @@
     read_buffer: memoryview
     sends: int
     held: int
-    no_room: int
-    banned: set[str]
+    attempts_without_socket: int
+    ejected: set[str]
     idle_pools: dict["BackendPool", None]
 
     def may_open(self) -> bool:
-        """Whether a socket is free for one more connection."""
+        """Return whether one more connection may be opened."""
 
     def must_read_list_events_first(self, attempt: Attempt) -> bool:
-        """Whether an attempt has to wait a turn of the event loop for unread endpoint list events."""
+        """Return whether the attempt must wait one event loop turn for unread endpoint list events."""
 
     def note_local_failure(self, error: OSError, server: str) -> None:
-        """A dial failed for a reason on this machine."""
+        """Record a dial that failed for a reason on this machine."""
 
     def schedule_sweep(self) -> None:
-        """Idle connections are to be closed in a while."""
+        """Schedule the closing of connections that are idle for too long."""
 
     def spawn(self, job: Coroutine[None, None, None]) -> None:
-        """Run a task of the backends."""
+        """Run a coroutine as a task, charged to the backends."""
 
 
 class BackendPool:
-    """The connections to one backend, and the attempts that wait for one to come up."""
+    """The connections to one backend, and the attempts that wait for a connection."""
 
     def __init__(self, owner: PoolOwner, name: str, address: Address) -> None:
         self.owner = owner
         self.name = name
         self.address = address
         self.is_up = True
-        """Whether the endpoint list says that it takes new attempts."""
+        """Whether the endpoint list allows new attempts."""
         self.connections: set[BackendConnection] = set()
         self.idle_connections: list[BackendConnection] = []
-        """By when they were used last, so that spare ones grow old."""
+        """Ordered by last use; the most recent is reused first, so that surplus ones time out."""
         self.waiting_attempts: deque[Attempt] = deque()
         self.connecting = 0
         self.last_received_us = 0
 
     def accepts_new_attempts(self) -> bool:
-        """Whether anything new may go there, by the endpoint list and by the operators."""
-        return self.is_up and self.name not in self.owner.banned
+        """Return whether the endpoint list and the operators allow new attempts."""
+        return self.is_up and self.name not in self.owner.ejected
 
     def start(self, attempt: Attempt) -> None:
-        """Send the attempt on an idle connection, or dial one for it."""
+        """Send the attempt on an idle connection, or dial a new one for it."""
         attempt.pool = self
         connection = self.take_reusable_connection()
         if connection:
             self.dispatch(connection, attempt)
             return
         if not self.owner.may_open():
-            self.owner.no_room += 1
+            self.owner.attempts_without_socket += 1
             attempt.finish(AttemptResult.LOCAL_FAILURE)
             return
         self.waiting_attempts.append(attempt)
         self._open_connection()
 
     def dispatch(self, connection: BackendConnection, attempt: Attempt) -> None:
-        """Send an attempt now, if that breaks no rule; the only place from which one is sent."""
+        """Send the attempt now if all checks pass; attempts are sent from nowhere else."""
         if attempt.has_ended:
             self.return_to_pool(connection)
         elif not self.accepts_new_attempts():
@@ -109,12 +109,12 @@
         self.connecting += 1
         self.owner.tally["opened"] += 1
         connection = BackendConnection(self)
-        self.connections.add(connection)  # at once, as the bound counts those that are still connecting
+        self.connections.add(connection)  # before it is up, as the connection limit includes it
         self.owner.held += 1
         self.owner.spawn(self.connect(connection))
 
     async def connect(self, connection: BackendConnection) -> None:
-        """Open a connection for whoever waits longest, within the connect timeout."""
+        """Dial, within the connect timeout, for the attempt that has waited longest."""
         result = AttemptResult.CONNECT_FAILED
 
         def failed_locally(error: OSError) -> None:
@@ -144,11 +144,14 @@
         await asyncio.get_running_loop().create_connection(lambda: connection, *self.address)
 
     def fails_locally(self) -> bool:
-        """Whether dials fail now for a reason on this machine, which says nothing of the backend."""
+        """Return whether dials currently fail for a reason on this machine, not the backend's."""
         return any(connection.failed_locally for connection in self.connections)
 
     def connect_failed(self, result: AttemptResult = AttemptResult.CONNECT_FAILED) -> None:
-        """One connection fewer comes up than attempts wait for: one goes on an idle one, or ends so."""
+        """Handle a failed dial: if attempts now outnumber dials, send one on an idle connection or end it.
+
+        `result` is the outcome of an attempt that is ended.
+        """
         self._drop_ended_attempts()
         if len(self.waiting_attempts) <= self.connecting:
             return
@@ -163,9 +166,9 @@
             attempt.finish(result)
 
     def connection_ready(self, connection: BackendConnection) -> None:
-        """Give a new connection to the attempt that waits longest; keep others for a while."""
+        """Give a new connection to the attempt that has waited longest; keep any other connection as idle."""
         if not connection.is_usable():
-            self.connect_failed()  # a backend that is full accepts a connection and closes it at once
+            self.connect_failed()  # an overloaded backend may accept a connection and close it at once
             return
         self._drop_ended_attempts()
         if not self.waiting_attempts or connection.use_count:
@@ -178,31 +181,31 @@
             self.dispatch(connection, attempt)
 
     def _drop_ended_attempts(self) -> None:
-        """End the attempts at the head of the queue that must not be started any more."""
+        """Remove the attempts at the head of the queue that have ended or are too late to be sent."""
         while self.waiting_attempts:
             first = self.waiting_attempts[0]
-            if not first.has_ended and not first.start_window_has_passed():
+            if not first.has_ended and not first.is_start_window_over():
                 return
             self.waiting_attempts.popleft().finish(AttemptResult.CONNECT_FAILED)
 
     # --- idle connections ---
 
     def take_reusable_connection(self) -> BackendConnection | None:
-        """The idle connection used last of those on which no other command's reply can come any more."""
+        """Return the most recently used idle connection that can get no late reply, None if there is none."""
         now = now_us()
-        self.close_idle(now - self.owner.idle_limit.us)
+        self.close_idle(now - self.owner.idle_limit.limit_us)
         for connection in reversed(self.idle_connections):
             if connection.use_count and connection.idle_since_us > now - REUSE_DELAY_US:
                 continue
             self.idle_connections.remove(connection)
             self._note_idle_connections()
-            if connection.is_usable() and not socket_inspection.spoken(connection.transport):
+            if connection.is_usable() and not socket_inspection.has_input_or_close(connection.transport):
                 return connection
-            connection.abort()  # closed by the other side, or with bytes on it that nobody asked for
+            connection.abort()  # the backend closed it or sent bytes without a command
         return None
 
     def return_to_pool(self, connection: BackendConnection) -> None:
-        """Keep a connection with nothing on it for a while, if anything new may go there."""
+        """Keep the connection as idle, or close it if the backend accepts no new attempts."""
         if self.accepts_new_attempts():
             connection.idle_since_us = now_us()
             self.idle_connections.append(connection)
@@ -212,7 +215,7 @@
             connection.close()
 
     def discard(self, connection: BackendConnection) -> None:
-        """Forget a connection that is closed, or about to be."""
+        """Remove a connection that is closed or about to be closed."""
         if connection in self.connections:
             self.connections.remove(connection)
             self.owner.held -= 1
@@ -221,22 +224,22 @@
         self._note_idle_connections()
 
     def _note_idle_connections(self) -> None:
-        """Forget among the pools with idle connections that this one has none left."""
+        """Unregister the pool from `idle_pools` if it has no idle connections left."""
         if not self.idle_connections:
             self.owner.idle_pools.pop(self, None)
 
     def suspect_idle_connections(self, since_us: int) -> None:
-        """Close what is idle where nothing was received since: the machine may have vanished.
+        """Close the idle connections if nothing was received since `since_us`: the machine may be down.
 
-        Connections to it stay open and silent, and are reset when it is back; the next request on one
-        would end as a reset, which an unsafe class cannot repeat.
+        Connections to a machine that is down stay open and silent, and are reset once it is back. A request
+        sent on one of them would end with a reset, and an unsafe request cannot be retried after that.
         """
         if self.last_received_us < since_us:
             self.owner.tally["doubted"] += len(self.idle_connections)
             self.close_idle()
 
     def close_idle(self, before_us: int | None = None) -> None:
-        """Close the idle connections, or those that have been idle since before a time."""
+        """Close the idle connections; with `before_us`, only those idle since before that time."""
         while self.idle_connections:
             if before_us is not None and self.idle_connections[0].idle_since_us >= before_us:
                 break
@@ -244,7 +247,7 @@
         self._note_idle_connections()
 
     def drain(self) -> None:
-        """Stop anything new: neither on idle connections nor on those that still come up."""
+        """Close the idle connections and end the attempts that wait for a connection."""
         self.close_idle()
         waiting = self.waiting_attempts
         self.waiting_attempts = deque()
--- a/orchidhatch/proxy/backend_replies.py
+++ b/orchidhatch/proxy/backend_replies.py
@@ -1,4 +1,4 @@
-"""What a backend's reply to a command means."""
+"""Interpretation of a backend's reply to a command."""
 
 import logging
 import math
@@ -12,27 +12,27 @@
 
 
 def read_reply(reply: object) -> tuple[AttemptResult, bytes | None, LoadReport | None]:
-    """The result of an attempt by its reply, with the value and the load report where it has them."""
+    """Return the attempt's result by its reply, with the value and the load report if there are any."""
     if isinstance(reply, ReplyError):
         return read_error(reply)
     if isinstance(reply, list) and reply and isinstance(reply[0], bytes):
         return AttemptResult.OK, reply[0], read_load(reply[2] if len(reply) > 2 else None)
-    log.error("backend reply of unknown form: reply=%.60r", reply)
-    return AttemptResult.ERROR, None, None  # in doubt: it may have run
+    log.error("backend reply has an unknown form: reply=%.60r", reply)
+    return AttemptResult.ERROR, None, None  # ERROR, as the command may have run
 
 
 def read_error(text: ReplyError) -> tuple[AttemptResult, None, LoadReport | None]:
-    """The result of an attempt by its error line, whose last word may be a load report."""
+    """Return the attempt's result by its error line, whose last word may be a load report."""
     report = read_load(text.rpartition(" ")[2].encode())
     if text == "BUSY" or text.startswith("BUSY "):
         return AttemptResult.REJECTED, None, report
     if not text.startswith("ERR"):
-        log.error("backend error of unknown kind: error=%s", text)
+        log.error("backend reply has an unknown error code: error=%s", text)
     return AttemptResult.ERROR, None, report
 
 
 def read_load(text: object) -> LoadReport | None:
-    """A load report `name=value,...`; one that is malformed says nothing."""
+    """Parse a load report `name=value,...`; return None if it is absent or malformed."""
     if not isinstance(text, bytes) or b"=" not in text:
         return None
     try:
--- a/orchidhatch/proxy/backends.py
+++ b/orchidhatch/proxy/backends.py
@@ -1,4 +1,4 @@
-"""The connections to all backends: a pool for each, and the bound on their number."""
+"""The connections to all backends: one pool per backend, and the limit on their total number."""
 
 import asyncio
 import errno
@@ -23,24 +23,27 @@
 log = logging.getLogger(__name__)
 
 IDLE_TIME_SHARE = 0.5
-"""Of the backends' idle time: a request that crosses the backend's close would end as a reset."""
+"""The idle limit as a share of the backends' idle timeout.
+
+A request sent while the backend closes the connection would end with a reset.
+"""
 MAX_STALL_US = 150_000
-"""How long a process may be held up between reading the clock and writing."""
+"""How long a process may be suspended between reading the clock and writing."""
 TIMER_SLACK_S = 0.001
-"""Timers may be early by as much."""
+"""How early a timer may fire."""
 MAX_DEFERRALS = 4
-"""How many turns of the event loop an attempt waits for unread endpoint list events."""
+"""How many event loop turns an attempt may wait for unread endpoint list events."""
 MAX_SWEEP_INTERVAL_S = 1.0
 
 
 class Backends:
-    """The pools by the backends' names, and what they share."""
+    """The connection pools by backend name, and the state that they share."""
 
     def __init__(
         self,
         idle_us: int,
         connect_timeout_us: int,
-        most: int,
+        max_connections: int,
         account: CpuAccounting | None = None,
         guard: Guard | None = None,
         loop_watch: LoopWatch | None = None,
@@ -49,42 +52,43 @@
         self.guard = guard or Guard()
         self.loop_watch = loop_watch or LoopWatch()
         self.idle_limit = IdleLimit(round(idle_us * IDLE_TIME_SHARE))
-        self.idle_limit_aged_us = now_us()
+        self.idle_counts_halved_us = now_us()
         self.connect_timeout_s = connect_timeout_us / 1e6
-        self.most = most
-        """The bound on the connections of all pools."""
+        self.max_connections = max_connections
+        """The limit on the connections of all pools."""
         self.held = 0
-        """Connections of all pools."""
+        """The number of connections of all pools."""
         self.others = 0
-        """Connections held by another process that is this gateway too."""
+        """Connections of the other process of this gateway, during a handover."""
         self.pools: dict[str, BackendPool] = {}
         self.idle_pools: dict[BackendPool, None] = {}
         """Pools that have idle connections."""
         self.retired_pools: list[BackendPool] = []
-        """Of backends that moved or are gone, while attempts are in flight there."""
-        self.banned: set[str] = set()
-        """Backends ejected by an operator; the decision core bounds their number."""
+        """Pools of backends that moved or were removed, while attempts are still in flight."""
+        self.ejected: set[str] = set()
+        """Backends ejected by an operator; the decision core limits their number."""
         self.list_events_are_unread: Callable[[], bool] = lambda: False
         self.tasks: set[asyncio.Task[None]] = set()
         self.read_buffer = memoryview(bytearray(READ_BUFFER_BYTES))
         self.sweep_is_scheduled = False
         self.connect_waits = WaitHistogram()
-        self.answer_waits = WaitHistogram()
+        self.reply_waits = WaitHistogram()
         self.tally: Counter[str] = Counter()
-        """How connections fared, since the last log line."""
-        # Counted since the start: dials that failed on this machine, by error; those of them for lack of
-        # descriptors; attempts without a socket; attempts that timed out; attempts written whole.
+        """Connection events by name, since the last log line."""
+        # Totals since the start: dials that failed for a local reason, by error, and those of them that
+        # failed for lack of descriptors; attempts without a free socket; attempts that timed out; attempts
+        # fully written.
         self.local_failures: Counter[str] = Counter()
         self.out_of_descriptors = 0
-        self.no_room = 0
+        self.attempts_without_socket = 0
         self.timed_out = 0
         self.sends = 0
 
     # --- the endpoint list, and the operators ---
 
-    def update(self, states: dict[str, EndpointState], addresses: dict[str, Address], whole: bool) -> None:
-        """Apply an endpoint list: the whole of it, or those whose state or address changed."""
-        if whole:
+    def update(self, states: dict[str, EndpointState], addresses: dict[str, Address], is_full: bool) -> None:
+        """Apply an endpoint list: either the full list, or the endpoints whose state or address changed."""
+        if is_full:
             for name in [name for name in self.pools if name not in states]:
                 self.retire(name)
         for name, state in states.items():
@@ -103,18 +107,18 @@
             if not pool.accepts_new_attempts():
                 pool.drain()
 
-    def ban(self, name: str, is_banned: bool) -> None:
-        """Eject a backend by an operator's call, or readmit it; endpoint lists do not change that."""
-        if not is_banned:
-            self.banned.discard(name)
+    def ban(self, name: str, is_ejected: bool) -> None:
+        """Eject a backend at an operator's request, or readmit it; endpoint lists do not override this."""
+        if not is_ejected:
+            self.ejected.discard(name)
             return
-        self.banned.add(name)
+        self.ejected.add(name)
         pool = self.pools.get(name)
         if pool:
             pool.drain()
 
     def retire(self, name: str) -> None:
-        """Take no new attempts for a backend that moved or is gone; those in flight go on."""
+        """Stop new attempts to a backend that moved or was removed; attempts in flight continue."""
         pool = self.pools.pop(name, None)
         if pool:
             pool.is_up = False
@@ -127,8 +131,8 @@
     def send(self, attempt: Attempt, timeout_us: int, start_within_us: int = 0) -> None:
         """Start an attempt that ends after `timeout_us` at the latest.
 
-        Where `start_within_us` is not 0, it is not started later than that, less the time for which the
-        process may be held up before it writes.
+        If `start_within_us` is not 0, the attempt must also be sent within that time, less the time for which
+        the process may be suspended before it writes.
         """
         loop = asyncio.get_running_loop()
         attempt.deadline_us = attempt.deadline_us or now_us() + timeout_us
@@ -140,7 +144,7 @@
         self.begin(attempt)
 
     def begin(self, attempt: Attempt) -> None:
-        """Hand an attempt to its backend's pool, unless the endpoint list has excluded that meanwhile."""
+        """Pass an attempt to its backend's pool, or end it if the backend no longer accepts attempts."""
         if attempt.has_ended:
             return
         if self.must_read_list_events_first(attempt):
@@ -153,10 +157,10 @@
             pool.start(attempt)
 
     def must_read_list_events_first(self, attempt: Attempt) -> bool:
-        """Whether an attempt has to wait a turn of the event loop.
+        """Return whether the attempt must wait one event loop turn for unread endpoint list events.
 
-        A process that stood still may not have read yet that the backend is draining, and timers and other
-        sockets go ahead of the watch. The number of such turns is bounded.
+        After a stall, a drain of the backend may be received but unread, as the loop handles timers and other
+        sockets before the watch. It waits for MAX_DEFERRALS turns at most.
         """
         if not self.loop_watch.touch():
             return False
@@ -166,23 +170,23 @@
         self.tally["deferred for news"] += 1
         return True
 
-    def waiting(self) -> list[Attempt]:
-        """The attempts that wait for a connection."""
+    def connecting_attempts(self) -> list[Attempt]:
+        """Return the attempts that wait for a connection."""
         return [attempt for pool in self._all_pools() for attempt in pool.waiting_attempts]
 
-    def unanswered(self) -> list[Attempt]:
-        """The attempts that are written and not answered."""
+    def unanswered_attempts(self) -> list[Attempt]:
+        """Return the attempts that were fully written and have no reply."""
         attempts = [connection.attempt for pool in self._all_pools() for connection in pool.connections]
         return [attempt for attempt in attempts if attempt and attempt.was_written]
 
     def _all_pools(self) -> tuple[BackendPool, ...]:
         return (*self.pools.values(), *self.retired_pools)
 
-    # --- the bound on connections ---
+    # --- the connection limit ---
 
     def may_open(self) -> bool:
-        """Whether a socket is free for one more connection; the one idle longest is closed for it."""
-        if self.held + self.others < self.most:
+        """Return whether one more connection may be opened, closing the longest idle one if necessary."""
+        if self.held + self.others < self.max_connections:
             return True
         if not self.idle_pools:
             return False
@@ -191,34 +195,34 @@
         return True
 
     def note_local_failure(self, error: OSError, server: str) -> None:
-        """Count a dial that failed on this machine; log each kind of error once a log interval."""
+        """Count a dial that failed for a local reason; log each error once per log interval."""
         name = error_name(error)
         self.local_failures[name] += 1
         if not self.tally[name]:
-            log.error("cannot connect here error=%s server=%s: %s", name, server, error)
+            log.error("dial failed locally: error=%s server=%s: %s", name, server, error)
         self.tally[name] += 1
         if error.errno in (errno.EMFILE, errno.ENFILE):
             self.out_of_descriptors += 1
             if not self.tally["no descriptor"]:
-                log.error("out of descriptors: cannot connect to a backend: %s", error)
+                log.error("dial failed, out of descriptors: %s", error)
             self.tally["no descriptor"] += 1
 
     # --- idle connections ---
 
     def close_idle(self, name: str) -> None:
-        """Close the idle connections to a backend."""
+        """Close the idle connections to the backend `name`."""
         pool = self.pools.get(name)
         if pool:
             pool.close_idle()
 
     def sweep(self) -> None:
-        """Close what has been idle for too long, and sweep again in a while if any connection is left."""
+        """Close connections that are idle for too long; schedule another sweep if any connection is left."""
         self.sweep_is_scheduled = False
         now = now_us()
-        while now - self.idle_limit_aged_us >= HALVING_INTERVAL_S * 1e6:
-            self.idle_limit_aged_us += round(HALVING_INTERVAL_S * 1e6)
-            self.idle_limit.age()
-        before_us = now - self.idle_limit.us
+        while now - self.idle_counts_halved_us >= HALVING_INTERVAL_S * 1e6:
+            self.idle_counts_halved_us += round(HALVING_INTERVAL_S * 1e6)
+            self.idle_limit.halve_counts()
+        before_us = now - self.idle_limit.limit_us
         for pool in list(self.idle_pools):
             pool.close_idle(before_us)
         self.retired_pools = [pool for pool in self.retired_pools if pool.connections]
@@ -226,23 +230,23 @@
             self.schedule_sweep()
 
     def schedule_sweep(self) -> None:
-        """Sweep in a while, unless that is scheduled already."""
+        """Schedule a sweep, unless one is scheduled."""
         if self.sweep_is_scheduled:
             return
         self.sweep_is_scheduled = True
-        delay_s = min(MAX_SWEEP_INTERVAL_S, self.idle_limit.stated_us / 4e6)
+        delay_s = min(MAX_SWEEP_INTERVAL_S, self.idle_limit.configured_us / 4e6)
         asyncio.get_running_loop().call_later(delay_s, self.account.run, CostCategory.BACKENDS, self.sweep)
 
-    # --- tasks, and the end ---
+    # --- tasks and shutdown ---
 
     def spawn(self, job: Coroutine[None, None, None], category: CostCategory = CostCategory.BACKENDS) -> None:
-        """Run a task until it ends or everything does; its CPU time counts for `category`."""
-        task = asyncio.get_running_loop().create_task(self.account.steps(category, job))
-        self.tasks.add(task)  # the loop itself holds tasks only weakly
+        """Run a coroutine as a task until `close` at the latest; charge its CPU time to `category`."""
+        task = asyncio.get_running_loop().create_task(self.account.wrap_coroutine(category, job))
+        self.tasks.add(task)  # the event loop keeps only weak references to tasks
         task.add_done_callback(self.tasks.discard)
 
     def close(self) -> None:
-        """End all connections and whatever else is under way."""
+        """Abort all connections and cancel all tasks."""
         for pool in self._all_pools():
             for connection in list(pool.connections):
                 connection.abort()
--- a/orchidhatch/proxy/cpu_accounting.py
+++ b/orchidhatch/proxy/cpu_accounting.py
@@ -1,7 +1,7 @@
 """CPU time of the process by cost category, estimated from a sample of the event loop's callbacks.
 
-Each callback enters a category and leaves it again; what it does for another category is counted there. Only
-some of the outermost entries, by chance, are timed, and stand for those that were not.
+Each callback enters a category and leaves it at its end; entries may be nested, and time is charged to the
+innermost. Only a random sample of the outermost entries is timed, and the result is scaled up.
 """
 
 import random
@@ -11,13 +11,13 @@
 from types import coroutine
 from typing import Any
 
-# Entries of which one is timed, on average: a reading of the clock costs half a microsecond.
+# Outermost entries per timed one, on average: reading the clock costs 0.5 us.
 SAMPLING_INTERVAL = 8
 NS_PER_S = 1e9
 
 
 class CostCategory(IntEnum):
-    """What CPU time is spent on; LOOP is what is spent outside of all others."""
+    """What CPU time is spent on; LOOP is the time outside all other categories."""
 
     LOOP = 0
     CLIENTS = 1
@@ -40,9 +40,10 @@
 class CpuAccounting:
     """CPU time by category.
 
-    The gaps between timed entries are drawn from `seed`, as the entries of a request come in a fixed order.
-    `sampling_interval` is the number of entries of which one is timed, on average. The clocks give the CPU
-    time of the thread and of the process, in nanoseconds, and the monotonic time, in seconds.
+    The number of entries between timed ones is random, drawn from `seed`: the entries of a request come in a
+    fixed order, of which a fixed stride would always time the same ones. `sampling_interval` is the average
+    number of entries per timed one. The clocks return the CPU time of the thread and of the process, in
+    nanoseconds, and the monotonic time, in seconds.
     """
 
     def __init__(
@@ -59,22 +60,22 @@
         self.clock_s = clock_s
         self.draw = random.Random(seed).random
         self.sampled_ns = [0] * len(CostCategory)
-        """By category, of the timed entries only."""
+        """By category; of the timed entries only."""
         self.category = CostCategory.LOOP
         self.is_timed = False
-        """Whether the present entry is timed."""
+        """Whether the current entry is timed."""
         self.charged_until_ns = 0
-        """Up to where the timed entry's time is charged."""
+        """The thread's CPU time up to which the current timed entry has been charged."""
         self.entries_to_skip = 0
         self.interval_start_cpu_ns = process_clock_ns()
         self.interval_start_s = clock_s()
         self.idle_s = 0.0
-        """Time in intervals without a request."""
+        """Total time of the intervals without a request."""
         self.idle_cpu_ns = 0
-        """CPU time in those intervals."""
+        """Total CPU time of those intervals."""
 
     def enter(self, category: CostCategory) -> CostCategory:
-        """Charge what is spent from now on to `category`; return the one to go back to on leaving."""
+        """Charge CPU time to `category` from now on; return the previous category, an argument of `leave`."""
         previous = self.category
         self.category = category
         if previous is not CostCategory.LOOP:
@@ -89,21 +90,21 @@
         return previous
 
     def _draw_gap(self) -> int:
-        """The entries until the next timed one: one less than the sampling interval on average."""
+        """Return the number of entries to skip; on average one less than the sampling interval."""
         return int(self.draw() * (2 * self.sampling_interval - 1))
 
     def leave(self, previous: CostCategory) -> None:
-        """Go back to the category that `enter` returned."""
+        """Return to the category that `enter` returned."""
         if self.is_timed:
             self._charge(self.category)
             self.is_timed = previous is not CostCategory.LOOP
         self.category = previous
 
-    def run(self, category: CostCategory, call: Callable[..., None], *args: object) -> None:
-        """Call a callback of the event loop in a category."""
+    def run(self, category: CostCategory, callback: Callable[..., None], *args: object) -> None:
+        """Call an event loop callback and charge its CPU time to `category`."""
         previous = self.enter(category)
         try:
-            call(*args)
+            callback(*args)
         finally:
             self.leave(previous)
 
@@ -113,8 +114,10 @@
         self.charged_until_ns = now_ns
 
     @coroutine
-    def steps(self, category: CostCategory, job: Coroutine[Any, Any, None]) -> Generator[Any, Any, None]:
-        """Run the coroutine of a task, each of whose steps is in the category."""
+    def wrap_coroutine(
+        self, category: CostCategory, job: Coroutine[Any, Any, None]
+    ) -> Generator[Any, Any, None]:
+        """Wrap a task's coroutine so that each of its steps is charged to `category`."""
         resume = job.send
         value: Any = None
         while True:
@@ -128,26 +131,26 @@
             try:
                 value = yield awaited
                 resume = job.send
-            except BaseException as error:  # a cancellation too, which the job has to see
+            except BaseException as error:  # includes cancellation, which must reach the job
                 value = error
                 resume = job.throw
 
-    def estimated_s(self, category: CostCategory) -> float:
-        """The category's CPU time since the start, in seconds, by the timed entries."""
+    def estimated_cpu_s(self, category: CostCategory) -> float:
+        """Return the category's CPU time since the start, in seconds, scaled up from the timed entries."""
         return self.sampled_ns[category] * self.sampling_interval / NS_PER_S
 
-    def total_s(self) -> float:
-        """The CPU time of the whole process since its start, in seconds, exactly."""
+    def process_cpu_s(self) -> float:
+        """Return the exact CPU time of the whole process since its start, in seconds."""
         return self.process_clock_ns() / NS_PER_S
 
     def idle_cpu_s(self) -> float:
-        """The CPU time of the intervals without a request, in seconds."""
+        """Return the CPU time of the intervals without a request, in seconds."""
         return self.idle_cpu_ns / NS_PER_S
 
     def end_interval(self, is_idle: bool) -> tuple[float, float]:
-        """Begin an interval; return the time and the CPU time of the one that ends, in seconds.
+        """Start a new interval; return the duration and the CPU time of the previous one, in seconds.
 
-        The times of idle intervals are also added up apart.
+        The figures of idle intervals are also added to separate totals.
         """
         cpu_ns = self.process_clock_ns()
         now_s = self.clock_s()
--- a/orchidhatch/proxy/endpoint_list_reader.py
+++ b/orchidhatch/proxy/endpoint_list_reader.py
@@ -1,4 +1,4 @@
-"""The endpoint list as discovery encodes it, decoded for the decision core and the connection pools."""
+"""Decoding of discovery's endpoint list for the decision core and the connection pools."""
 
 import logging
 from collections.abc import Mapping
@@ -17,35 +17,35 @@
     "DRAINING": EndpointState.DRAINING,
     "DELETED": EndpointState.GONE,
 }
-"""Endpoint states by their names on discovery's wire."""
+"""Endpoint states by their names in discovery's messages."""
 
 MALFORMED_ENTRY = (KeyError, TypeError, ValueError, ArithmeticError, AttributeError, ConfigError)
-"""What reading a malformed entry may raise."""
+"""The exceptions that reading a malformed entry may raise."""
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """An endpoint list, or changes to it, for the decision core, and the addresses that go with it."""
+    """A full endpoint list, or changes to it, for the decision core, with the endpoints' addresses."""
 
     event: EndpointList
     addresses: dict[str, Address]
 
 
 class EndpointListReader:
-    """Decodes endpoint lists: names become the settings' numbers, and start times those of this clock."""
+    """Decodes endpoint lists: zone and machine type names to numbers, start times to the monotonic clock."""
 
     def __init__(self, config: Config) -> None:
-        self.zones = config.zone_numbers
-        self.kinds = config.kind_numbers
+        self.zone_numbers = config.zone_numbers
+        self.kind_numbers = config.kind_numbers
         self.start_times = StartTimes()
         self.entries: dict[str, Mapping[str, Any]] = {}
-        """The list as of the last update, by name, in discovery's form."""
+        """The list as of the last update, by endpoint name, as received from discovery."""
         self.version = 0
 
     def read(self, value: Mapping[str, Any], kind: EndpointListKind | None = None) -> EndpointUpdate:
-        """Decode a list or changes to it; malformed entries are logged and left out.
+        """Decode a full list or changes to one; malformed entries are logged and skipped.
 
-        Raises KeyError, TypeError or ValueError where the value itself is malformed.
+        Raises KeyError, TypeError or ValueError if the message itself is malformed.
         """
         kind = kind or (EndpointListKind.FULL if value.get("reset") else EndpointListKind.CHANGES)
         version = int(value["generation"])
@@ -55,7 +55,7 @@
         for entry in value["instances"]:
             try:
                 endpoint = self._read_endpoint(entry)
-                # One that is gone needs no address, and must be known in any case.
+                # A removed endpoint needs no address, and its removal must not be missed for lack of one.
                 if endpoint.state is not EndpointState.GONE:
                     addresses[endpoint.name] = read_backend(entry["hostPort"])
             except MALFORMED_ENTRY as error:
@@ -74,10 +74,10 @@
         started_ms = float(entry.get("startedAtMs") or 0)
         return Endpoint(
             name=name,
-            zone=self.zones.get(entry.get("zone"), -1),
-            kind=self.kinds.get(entry.get("machineType"), -1),
+            zone=self.zone_numbers.get(entry.get("zone"), -1),
+            kind=self.kind_numbers.get(entry.get("machineType"), -1),
             cell=int(entry.get("cell") or 0),
-            # Nothing new goes to an endpoint in an unknown state.
+            # An endpoint in an unknown state gets no new attempts.
             state=STATES.get(entry.get("lifecycle"), EndpointState.DRAINING),
             relative_capacity=float(entry.get("weight") or 1.0),
             started_us=self.start_times.started_us(name, started_ms),
@@ -93,7 +93,7 @@
                 self.entries[name] = entry
 
     def adopt_starts(self, snapshot: Mapping[str, Any], started_us: Mapping[str, int]) -> None:
-        """Go on from the start times that a predecessor process computed for the entries of its list."""
+        """Adopt the start times that the predecessor computed for the entries of its list."""
         self.start_times.adopt(
             (name, KnownStart(float(entry.get("startedAtMs") or 0), started_us[name]))
             for entry in snapshot["instances"]
@@ -101,5 +101,5 @@
         )
 
     def snapshot(self) -> dict[str, Any]:
-        """The whole list in discovery's form."""
+        """Return the full list in the form that discovery sends it."""
         return {"generation": self.version, "reset": True, "instances": list(self.entries.values())}
--- a/orchidhatch/proxy/endpoint_watch.py
+++ b/orchidhatch/proxy/endpoint_watch.py
@@ -1,4 +1,4 @@
-"""The watch on discovery for changes of the endpoint list, kept open for as long as the process serves."""
+"""The watch on discovery for changes of the endpoint list, kept open while the process runs."""
 
 import asyncio
 import contextlib
@@ -22,17 +22,17 @@
 log = logging.getLogger(__name__)
 
 SILENCE_LIMIT_S = 5.0
-"""A heartbeat comes every 2 s; a watch that is silent for longer than this is dead."""
+"""Heartbeats come every 2 s; a watch without any data for longer than this is considered dead."""
 CONNECT_TIMEOUT_S = 1.0
 MOVE_GRACE_S = 4.0
-"""After a change of discovery's address, what the new one has counts as known."""
+"""How long retries are fast after a change of address; by then the new address's list must be known."""
 
 
 class EndpointWatcher:
-    """Keeps a watch open and hands on its updates.
+    """Keeps a watch open and passes on its updates.
 
-    The watch before the one that is open is kept until that one is accepted: it may still bring what the
-    other does not, as in a change of address, or be the one that is answered when an outage ends.
+    The previous watch is kept until the current one is accepted: after a change of address it may still bring
+    updates that the new one does not, and after an outage it may be the one that is answered.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         self.on_update = on_update
         self.account = account or CpuAccounting()
         self.is_agent = is_agent
-        """Whether discovery is an agent on this machine, which pushes lists."""
+        """Whether discovery is an agent on this machine, to which endpoint lists are pushed."""
         self.backoff = WatchBackoff(seed, gateway_count, is_agent)
         self.has_update = asyncio.Event()
         self.has_accepted_watch = asyncio.Event()
@@ -61,10 +61,10 @@
         self.address_changed = asyncio.Event()
         self.address_changed_s = -MOVE_GRACE_S
         self.last_received_s = time.monotonic()
-        """When a watch before these two last received anything; the start, if none has."""
+        """When a watch before the current and the previous one last received data; initially the start."""
 
     def move(self, address: Address) -> None:
-        """Watch at another address from now on; what came from the old one still holds."""
+        """Watch at another address from now on; the list that came from the old one stays valid."""
         if address != self.address:
             self.address = address
             self.address_changed_s = time.monotonic()
@@ -72,21 +72,21 @@
             self.address_changed.set()
 
     def last_sign_of_life_s(self) -> float:
-        """When an accepted watch last received anything, by the monotonic clock."""
+        """Return when an accepted watch last received data, on the monotonic clock."""
         watches = (self.current, self.previous)
         received_s = [watch.last_received_s for watch in watches if watch and watch.was_accepted]
         self.last_received_s = max([self.last_received_s, *received_s])
         return self.last_received_s
 
     def has_unread(self) -> bool:
-        """Whether a watch has bytes that were not read yet, which may say that a backend is draining."""
+        """Return whether a watch has unread bytes, which may announce that a backend is draining."""
         watches = (self.current, self.previous)
         return any(watch is not None and watch.has_unread() for watch in watches)
 
-    # --- what a watch brings ---
+    # --- callbacks of a watch ---
 
     def _on_value(self, value: Any) -> None:  # noqa: ANN401 - any JSON
-        """Apply a whole value. Where that fails, the version stays, and the next watch brings it again."""
+        """Apply an update. If that fails, the version stays, and the next watch brings the update again."""
         update = self.reader.read(value)
         self.version = update.event.version
         self.backoff.reset()
@@ -94,20 +94,20 @@
         self.has_update.set()
 
     def _on_accepted(self, watch: WatchConnection) -> None:
-        """A watch is accepted: from now on it brings everything, and the one before it is not needed."""
+        """Close the previous watch, which the accepted one replaces."""
         self.has_accepted_watch.set()
         if self.previous and watch is not self.previous:
             self.last_sign_of_life_s()
             self.previous.close()
             self.previous = None
 
-    # --- one watch after the other ---
+    # --- successive watches ---
 
     async def run(self) -> None:
         """Keep a watch open until the task is cancelled."""
         try:
             while True:
-                wait_s = self._bounded_wait(await self._watch_once())
+                wait_s = self._limit_wait(await self._watch_once())
                 self.backoff.double()
                 await self.pause(wait_s)
         finally:
@@ -116,36 +116,38 @@
                     watch.close()
 
     async def _watch_once(self) -> float:
-        """Hold one watch, or fail to open it; how long the next one has to wait."""
-        wait_s = self.backoff.draw()
+        """Run one watch, or fail to open it; return the wait before the next one, in seconds."""
+        wait_s = self.backoff.draw_wait()
         try:
             return await self.watch()
         except (OSError, TimeoutError) as error:
-            log.warning("no watch on discovery: %s", error or "it does not answer")
+            log.warning("endpoint watch not opened: %s", error or "connect timed out")
             if is_local(error):
-                return self.backoff.at_most(wait_s, MAX_SHORT_BACKOFF_S)
+                return self.backoff.limit_wait(wait_s, MAX_SHORT_BACKOFF_S)
         except Exception:
-            log.exception("the watch on discovery failed")  # else the list would grow old unseen
+            log.exception(
+                "endpoint watch failed"
+            )  # caught, as the list would become outdated without a watch
         return wait_s
 
-    def _bounded_wait(self, wait_s: float) -> float:
-        """The wait, as long as it may be for this tier, and soon after a change of address."""
-        wait_s = self.backoff.bounded(wait_s)
-        moved_lately = time.monotonic() - self.address_changed_s < MOVE_GRACE_S
-        if wait_s > IMMEDIATE_RETRY_S and moved_lately:
+    def _limit_wait(self, wait_s: float) -> float:
+        """Limit a wait for this tier, and further after a recent change of address."""
+        wait_s = self.backoff.limit_for_tier(wait_s)
+        has_moved_recently = time.monotonic() - self.address_changed_s < MOVE_GRACE_S
+        if wait_s > IMMEDIATE_RETRY_S and has_moved_recently:
             limit_s = 2 * MIN_BACKOFF_S if self.is_agent else MAX_SHORT_BACKOFF_S
-            return self.backoff.at_most(wait_s, limit_s)
+            return self.backoff.limit_wait(wait_s, limit_s)
         return wait_s
 
     async def pause(self, wait_s: float) -> None:
-        """Wait for so long, or until another address holds."""
+        """Wait for `wait_s` seconds, or until the address changes."""
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self.address_changed.wait(), wait_s)
 
     async def watch(self) -> float:
-        """Hold one watch until it ends, is silent for too long or another address holds.
+        """Run one watch until it ends, is silent for too long or the address changes.
 
-        How long the next one has to wait, in seconds. Raises OSError or TimeoutError where it cannot connect.
+        Returns the wait before the next one, in seconds. Raises OSError or TimeoutError if it cannot connect.
         """
         self.address_changed.clear()
         host, port = self.address
@@ -164,33 +166,33 @@
             return await self._wait_for_end(watch)
         finally:
             self.current = None
-            self._keep_beside_next(watch)
+            self._retain_previous(watch)
 
     async def _wait_for_end(self, watch: WatchConnection) -> float:
-        """Wait for what ends the watch; how long the next one has to wait."""
+        """Wait until the watch must be replaced; return the wait before the next one, in seconds."""
         address_changed = asyncio.ensure_future(self.address_changed.wait())
         try:
             while not watch.has_ended() and not self.address_changed.is_set():
-                left_s = watch.last_received_s + SILENCE_LIMIT_S - time.monotonic()
-                if left_s <= 0:
-                    log.warning("the watch on discovery is silent")
+                remaining_s = watch.last_received_s + SILENCE_LIMIT_S - time.monotonic()
+                if remaining_s <= 0:
+                    log.warning("endpoint watch silent; replacing it")
                     break
                 await asyncio.wait(
-                    [watch.ended, address_changed], timeout=left_s, return_when=asyncio.FIRST_COMPLETED
+                    [watch.ended, address_changed], timeout=remaining_s, return_when=asyncio.FIRST_COMPLETED
                 )
         finally:
             address_changed.cancel()
         if self.address_changed.is_set():
             return 0.0
-        return self.backoff.after_watch(
+        return self.backoff.draw_after_watch(
             lasted_s=time.monotonic() - watch.opened_s,
             is_silent=not watch.has_ended(),
             was_accepted=watch.was_accepted,
             was_malformed=watch.was_malformed,
         )
 
-    def _keep_beside_next(self, watch: WatchConnection) -> None:
-        """Keep one of two watches beside the next: the one that may still bring something, else the newer."""
+    def _retain_previous(self, watch: WatchConnection) -> None:
+        """Keep one of the two last watches as the previous one: the older if it is more useful."""
         self.last_sign_of_life_s()
         previous = self.previous
         if previous and not previous.has_ended():
--- a/orchidhatch/proxy/json_lines.py
+++ b/orchidhatch/proxy/json_lines.py
@@ -1,4 +1,4 @@
-"""JSON values from the lines of a stream, each on one line or indented over several."""
+"""JSON values read from the lines of a stream, each on one line or indented over several."""
 
 import json
 import re
@@ -6,47 +6,47 @@
 from typing import Any
 
 MAX_VALUE_BYTES = 1 << 22
-"""Of one value, whether it stands on one line or on several."""
+"""The largest value, whether on one line or on several."""
 
 JSON_STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
-"""A string of JSON, which never goes on over the end of a line."""
+"""A JSON string, which cannot span lines."""
 
 
 class JsonLineReader:
-    """Puts JSON values together from lines; `take` gets each value that is whole."""
+    """Assembles JSON values from lines; `on_value` is called with each complete value."""
 
-    def __init__(self, take: Callable[[Any], None]) -> None:
-        self.take = take
+    def __init__(self, on_value: Callable[[Any], None]) -> None:
+        self.on_value = on_value
         self.lines: list[bytes] = []
-        """Of a value that is not whole."""
+        """The lines of an incomplete value."""
         self.size = 0
         self.depth = 0
-        """Brackets that are open."""
+        """The number of open brackets."""
 
     def feed(self, line: bytes) -> None:
-        """Take a line that is not empty. Raises ValueError where the value is malformed or too large."""
-        if not self.lines and self._take_one_line_value(line):
+        """Process a non-empty line. Raises ValueError if the value is malformed or too large."""
+        if not self.lines and self._handle_one_line_value(line):
             return
-        bare = JSON_STRING.sub(b"", line)
-        self.depth += bare.count(b"{") + bare.count(b"[")
-        self.depth -= bare.count(b"}") + bare.count(b"]")
+        unquoted = JSON_STRING.sub(b"", line)
+        self.depth += unquoted.count(b"{") + unquoted.count(b"[")
+        self.depth -= unquoted.count(b"}") + unquoted.count(b"]")
         self.lines.append(line)
         self.size += len(line)
         if self.size > MAX_VALUE_BYTES:
-            raise ValueError("a value without an end")
+            raise ValueError("JSON value is too large or never ends")
         if self.depth <= 0:
             text = b"\n".join(self.lines)
             self.lines = []
             self.size = 0
-            self.take(json.loads(text))
+            self.on_value(json.loads(text))
 
-    def _take_one_line_value(self, line: bytes) -> bool:
-        """Take a value that stands on one line; False if the line is only the first of a value."""
+    def _handle_one_line_value(self, line: bytes) -> bool:
+        """Handle a value that is on one line; return False if the line only begins a value."""
         try:
             value = json.loads(line)
         except json.JSONDecodeError as error:
             if error.pos < len(error.doc.rstrip()):
                 raise
             return False
-        self.take(value)
+        self.on_value(value)
         return True
--- a/orchidhatch/proxy/local_errors.py
+++ b/orchidhatch/proxy/local_errors.py
@@ -1,4 +1,4 @@
-"""Errors of system calls that come of this machine's own state, not of whom it talks to."""
+"""Errors of system calls that are caused by this machine's state, not by the peer."""
 
 import errno
 from collections.abc import Awaitable, Callable, Iterator
@@ -21,24 +21,24 @@
         errno.ENOMEM,
     }
 )
-"""Errors of socket() and connect() that pass, and after which the other side has seen nothing."""
+"""Transient errors of socket() and connect(), after which the peer has received nothing."""
 
 INITIAL_BACKOFF_S = 0.005
 MAX_BACKOFF_S = 0.08
 
 
 def is_local(error: OSError) -> bool:
-    """Whether the error says nothing of the other side and may be gone in a moment."""
+    """Return whether the error is transient and says nothing about the peer."""
     return error.errno in LOCAL_ERRNOS
 
 
 def error_name(error: OSError) -> str:
-    """The error's symbolic name, as it is logged."""
+    """Return the error's symbolic name for the log."""
     return errno.errorcode.get(error.errno or 0, type(error).__name__)
 
 
 def backoffs_s() -> Iterator[float]:
-    """The waits between attempts, doubling up to a limit; without an end."""
+    """Yield the waits between attempts without end, doubling up to a limit."""
     wait_s = INITIAL_BACKOFF_S
     while True:
         yield wait_s
@@ -48,11 +48,11 @@
 async def retry_local(
     call: Callable[[], Awaitable[Result]],
     sleep: Callable[[float], Awaitable[None]],
-    failed: Callable[[OSError], None],
+    on_local_error: Callable[[OSError], None],
 ) -> Result:
-    """Call until it succeeds or fails for a reason that is not local; the caller bounds the time.
+    """Repeat `call` until it succeeds or fails with an error that is not local; the caller limits the time.
 
-    `failed` is told of each local error. Raises the errors of `call` that are not local.
+    `on_local_error` is called with each local error. Raises errors of `call` that are not local.
     """
     for wait_s in backoffs_s():
         try:
@@ -60,6 +60,6 @@
         except OSError as error:
             if not is_local(error):
                 raise
-            failed(error)
+            on_local_error(error)
         await sleep(wait_s)
-    raise AssertionError("there is always a further wait")
+    raise AssertionError("backoffs_s() ended, but must be endless")
--- a/orchidhatch/proxy/log_writer.py
+++ b/orchidhatch/proxy/log_writer.py
@@ -1,4 +1,4 @@
-"""The log, written by a thread of its own, so that a reader that stops reading stops nothing else."""
+"""The log, written by a separate thread, so that a blocked log reader does not block the gateway."""
 
 import contextlib
 import logging
@@ -11,14 +11,14 @@
 from orchidhatch.proxy.wait_queues import QueueStatus, WaitHistogram
 
 STANDARD_ERROR_DESCRIPTOR = 2
-# Some minutes of an ordinary day's, or what a failing one writes in a second.
+# Some minutes of a normal log, or one second of a failing gateway's.
 MAX_QUEUED_LINES = 1000
-# For the lines that are left to be read at the end.
+# For writing the remaining lines at shutdown.
 CLOSE_TIMEOUT_S = 1.0
 
 
 class LogWriter(logging.Handler):
-    """Queues log lines at once, and drops and counts them while `max_lines` wait."""
+    """Queues log lines without blocking; drops and counts lines while `max_lines` are queued."""
 
     def __init__(
         self, descriptor: int = STANDARD_ERROR_DESCRIPTOR, max_lines: int = MAX_QUEUED_LINES
@@ -28,19 +28,19 @@
         self.descriptor = descriptor
         self.max_lines = max_lines
         self.lines: deque[tuple[float, str]] = deque()
-        """The queued lines, each with the monotonic time in seconds at which it came."""
+        """The queued lines, each with the monotonic time in seconds at which it was queued."""
         self.changed = threading.Condition()
         self.is_closing = False
         self.dropped = 0
         """Lines dropped since the start."""
         self.reported_drops = 0
-        """Of them, those that a line in the log stands for."""
+        """Those of them that a line in the log has reported."""
         self.waits = WaitHistogram()
         self.thread = threading.Thread(target=self._write_lines, name="log", daemon=True)
         self.thread.start()
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Queue a line, or drop it where too many wait."""
+        """Queue a line, or drop it if the queue is full."""
         line = self.format(record)
         with self.changed:
             if len(self.lines) >= self.max_lines:
@@ -50,9 +50,9 @@
             self.changed.notify()
 
     def _write_lines(self) -> None:
-        """Run the thread: write one line after another, however long the reader takes.
+        """Run the thread: write the lines one by one, blocking while the reader does.
 
-        It takes no signal: one that the main thread takes wakes the event loop before the loop runs on.
+        It blocks all signals: only a signal handled in the main thread wakes the event loop at once.
         """
         signal.pthread_sigmask(signal.SIG_BLOCK, signal.valid_signals())
         while True:
@@ -60,15 +60,15 @@
             if entry is None:
                 return
             queued_s, text = entry
-            # Nobody reads any more, or nothing can be written: the line is lost, and the program lives.
+            # If the pipe is closed or the write fails, the line is lost and the gateway continues.
             with contextlib.suppress(OSError):
                 self._write(text.encode(errors="replace") + b"\n")
             with self.changed:
-                self.lines.popleft()  # only now, so that a line that cannot leave counts as waiting
+                self.lines.popleft()  # only now, so that a line being written counts as queued
                 self.waits.note(round((time.monotonic() - queued_s) * 1e6))
 
     def _wait_for_line(self) -> tuple[float, str] | None:
-        """The time and the text of the oldest line, behind a report of drops; None at the end."""
+        """Return the oldest line with its time, with a report of drops before it; None at shutdown."""
         with self.changed:
             while not self.lines and not self.is_closing:
                 self.changed.wait()
@@ -88,7 +88,7 @@
             data = data[written:]
 
     def queue_status(self) -> QueueStatus:
-        """The queue of lines, as it is now."""
+        """Return the current status of the queue."""
         with self.changed:
             oldest_us = 0
             if self.lines:
@@ -97,7 +97,7 @@
             return QueueStatus("log", self.max_lines, len(self.lines), oldest_us, self.dropped, self.waits)
 
     def close(self) -> None:
-        """Write what is left, for CLOSE_TIMEOUT_S at most."""
+        """Write the remaining lines, for CLOSE_TIMEOUT_S at most."""
         with self.changed:
             self.is_closing = True
             self.changed.notify()
--- a/orchidhatch/proxy/loop_watch.py
+++ b/orchidhatch/proxy/loop_watch.py
@@ -1,9 +1,9 @@
-"""Whether the event loop may have stood still: what came meanwhile is then unread, and timers go ahead of it.
+"""Detection of event loop stalls, after which input may be unread and timers run before it is read.
 
-A process is stopped or held up without notice, in its poll or in a callback. The watch touches the loop at
-short intervals, so that a loop that merely rests in its poll leaves no gap: a gap is a time in which the
-process did not run. Sockets are then inspected before an effect relies on what was read, and what is read
-counts as having come when the loop was last seen to poll.
+The process may be suspended without notice, in its poll or in a callback. The watch touches the loop at short
+intervals, so that a loop that waits idly in its poll shows no gap: a gap is a time in which the process did
+not run. After a gap, sockets are inspected before an action relies on what was read, and input that is read
+counts as having arrived when the loop was last known to poll.
 """
 
 import asyncio
@@ -12,29 +12,30 @@
 from orchidhatch.proxy.clock import now_us
 
 GAP_US = 50_000
-"""Well within the time after a client's close, or a backend's drain, in which an attempt may begin."""
+"""Well below the time after a client's close, or a backend's drain, in which an attempt may still begin."""
 TOUCH_INTERVAL_S = 0.03
-"""Under the gap, less what timers are late."""
-TURNS = 3
-"""Turns of the event loop after which everything that had come by the gap's end has been read on connections
-that were open then. Of the connections that wait to be accepted, uvloop accepts one a turn."""
+"""Below GAP_US, less the usual delay of timers."""
+TURNS_AFTER_GAP = 3
+"""Event loop turns after which all input from before the gap's end has been read on the connections that were
+open then. Of the connections waiting to be accepted, uvloop accepts one per turn."""
 MAX_BACKLOG_TURNS = 1024
-"""As many connections as can wait to be accepted."""
+"""The largest number of connections that can wait to be accepted."""
 
 
 def poll_return_us() -> int:
-    """When the poll of this turn of the running loop returned, by the process's clock.
+    """Return when the poll of the running loop's current turn returned, on the process's clock.
 
-    uvloop keeps that time over the turn, in whole milliseconds.
+    uvloop keeps that time during the turn, in whole milliseconds.
     """
     return round(asyncio.get_running_loop().time() * 1e6)
 
 
 class LoopWatch:
-    """Is touched wherever work begins; `is_suspicious` holds for some turns after a gap.
+    """Detects gaps; `is_suspicious` is set for some event loop turns after a gap.
 
-    What is read in a turn may have come at any time since the poll of the turn before. `turn_us` gives the
-    time of this turn's poll; without it each touch counts as a turn. Times are in microseconds.
+    `touch` is called wherever work begins. Input that is read in a turn may have arrived at any time since
+    the poll of the turn before. `turn_us` returns the time of the current turn's poll; without it, each touch
+    counts as a turn. Times are in microseconds.
     """
 
     def __init__(
@@ -50,22 +51,22 @@
         self._backlog_since_us = 0
         self._turns_since_accept = 0
         self.is_reading_backlog = False
-        """Whether connections that are accepted now may have waited since the gap."""
+        """Whether connections that are accepted now may have been waiting since the gap."""
         self._timer: asyncio.TimerHandle | None = None
         self.is_suspicious = False
 
     def start(self) -> None:
-        """Touch the loop from now on, also while nothing happens."""
+        """Touch the loop now and periodically, even while nothing else happens."""
         self.touch()
         self._timer = asyncio.get_running_loop().call_later(TOUCH_INTERVAL_S, self.start)
 
     def close(self) -> None:
-        """Touch it no more."""
+        """Stop the periodic touches."""
         if self._timer:
             self._timer.cancel()
 
     def touch(self) -> bool:
-        """Work begins now; whether what has come may be unread."""
+        """Record that the loop runs; return whether received input may be unread."""
         turn_us = self._turn_us()
         if turn_us != self._this_turn_us:
             self._previous_turn_us = self._this_turn_us
@@ -75,7 +76,7 @@
         if gap_us >= GAP_US and not self.is_suspicious:
             self.is_suspicious = True
             self._unread_since_us = max(self._created_us, self._previous_turn_us)
-            self._wait_turns(TURNS)
+            self._wait_turns(TURNS_AFTER_GAP)
             self._begin_backlog()
         return self.is_suspicious
 
@@ -87,15 +88,15 @@
             self._wait_for_backlog(MAX_BACKLOG_TURNS)
 
     def _wait_for_backlog(self, turns: int) -> None:
-        """Count turns until none has accepted a connection for some time, or so many have passed."""
+        """Wait until TURNS_AFTER_GAP turns have accepted no connection, or for `turns` turns at most."""
         self._turns_since_accept += 1
-        if turns and self._turns_since_accept <= TURNS:
+        if turns and self._turns_since_accept <= TURNS_AFTER_GAP:
             asyncio.get_running_loop().call_soon(self._wait_for_backlog, turns - 1)
         else:
             self.is_reading_backlog = False
 
     def accepted_since_us(self) -> int:
-        """Since when the connection that is accepted now may have waited; 0 where it did not."""
+        """Return since when a connection accepted now may have waited, 0 if it has not."""
         self.touch()
         if not self.is_reading_backlog:
             return 0
@@ -103,9 +104,9 @@
         return self._backlog_since_us
 
     def arrival_us(self) -> int:
-        """When what is read now came, at the earliest: now, where the loop did not stand still.
+        """Return the earliest time at which input read now may have arrived; without a gap, the current time.
 
-        It is the clock's reading that was compared: a process that stands still after it is not missed.
+        That time is the clock reading that was checked for a gap, so that a later stall is not missed.
         """
         return self._unread_since_us if self.touch() else self._touched_us
 
--- a/orchidhatch/proxy/management.py
+++ b/orchidhatch/proxy/management.py
@@ -1,7 +1,7 @@
-"""The management server: operators' calls over HTTP/1.1, one call to a connection.
+"""The management server: operators' calls over HTTP/1.1, one call per connection.
 
-A call is answered in the turn of the loop in which its last byte arrives, so every connection that stays
-is one whose call is incomplete, or whose answer is not read. Their number is bounded: the oldest is closed.
+A call is answered in the event loop turn in which its last byte arrives, so a connection that stays open has
+an incomplete call or an unread answer. The number of connections is limited: the oldest is closed.
 """
 
 import asyncio
@@ -23,26 +23,26 @@
 MAX_CONNECTIONS = 16
 MAX_HEAD_BYTES = 4096
 MAX_BODY_BYTES = 4096
-"""No call needs a body."""
+"""For a body that is ignored: no call needs one."""
 CALL_TIMEOUT_S = 5.0
-"""For a whole call, and for its answer to be read."""
+"""For receiving the whole call and for sending the answer."""
 PARAMETER = "{id}"
-"""Stands for one segment of a path."""
+"""Matches any one segment of a path."""
 
 Answer = tuple[int, str]
-"""The status and the text."""
+"""The HTTP status and the body's text."""
 
 
 @dataclass(frozen=True, slots=True)
 class RoutedAnswer:
-    """An answer, and the methods that the path allows where the call's is none of them."""
+    """An answer, and the methods that the path allows if the call's method is not among them."""
 
     answer: Answer
     allowed_methods: str = ""
 
 
 class Calls:
-    """The calls by method and path; PARAMETER in a path stands for a segment that is given to the handler."""
+    """The handlers by method and path; the segment that PARAMETER matches is passed to the handler."""
 
     def __init__(self, calls: dict[tuple[str, str], Callable[..., Answer]]) -> None:
         self.handlers = {
@@ -50,7 +50,7 @@
         }
 
     def answer(self, method: str, target: str) -> RoutedAnswer:
-        """Answer a call by its handler, or say why there is none."""
+        """Answer a call by its handler, or with 404 or 405 if there is none."""
         segments = tuple(map(unquote, target.partition("?")[0].split("/")))
         allowed = []
         for (handled_method, pattern), handler in self.handlers.items():
@@ -60,24 +60,24 @@
                 return RoutedAnswer(handler(*parameters(pattern, segments)))
             allowed.append(handled_method)
         if allowed:
-            return RoutedAnswer((HTTPStatus.METHOD_NOT_ALLOWED, "not this method"), ", ".join(allowed))
-        return RoutedAnswer((HTTPStatus.NOT_FOUND, "no such call"))
+            return RoutedAnswer((HTTPStatus.METHOD_NOT_ALLOWED, "method not allowed"), ", ".join(allowed))
+        return RoutedAnswer((HTTPStatus.NOT_FOUND, "unknown path"))
 
 
 def matches(pattern: tuple[str, ...], segments: tuple[str, ...]) -> bool:
-    """Whether a path fits a pattern, segment by segment."""
+    """Return whether a path matches a pattern, segment by segment."""
     if len(pattern) != len(segments):
         return False
     return all(expected in (segment, PARAMETER) for expected, segment in zip(pattern, segments, strict=True))
 
 
 def parameters(pattern: tuple[str, ...], segments: tuple[str, ...]) -> list[str]:
-    """The segments that stand where the pattern has a parameter."""
+    """Return the segments that PARAMETER matches."""
     return [segment for expected, segment in zip(pattern, segments, strict=True) if expected == PARAMETER]
 
 
 class CallConnection(asyncio.Protocol):
-    """One call: read, answered, closed."""
+    """The connection of one call, closed after the answer."""
 
     def __init__(self, management: "Management") -> None:
         self.management = management
@@ -89,13 +89,13 @@
         self.opened_s = time.monotonic()
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """An operator has connected."""
+        """Register the connection and start its timeout."""
         self.transport = transport
         self.timer = asyncio.get_running_loop().call_later(CALL_TIMEOUT_S, self.time_out)
-        self.management.opened(self)
+        self.management.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """Read what has come, unless the call has been answered."""
+        """Process received bytes, unless the call was answered."""
         previous_category = self.management.account.enter(CostCategory.MANAGEMENT)
         try:
             if not self.has_ended():
@@ -122,7 +122,7 @@
         elif isinstance(event, h11.Data):
             self.body_bytes += len(event.data)
             if self.body_bytes > MAX_BODY_BYTES:
-                self.reply((HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "too long a body"))
+                self.reply((HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "request body too large"))
         elif isinstance(event, h11.EndOfMessage):
             self._answer_call(self.request.method.decode(), self.request.target.decode())
         elif isinstance(event, h11.ConnectionClosed):
@@ -137,7 +137,7 @@
         self.reply(routed.answer, routed.allowed_methods)
 
     def has_ended(self) -> bool:
-        """Whether it has been answered or has ended; no more is read."""
+        """Return whether the call was answered or the connection is closing; nothing more is read then."""
         return self.http.our_state in (h11.DONE, h11.MUST_CLOSE, h11.CLOSED) or self.transport.is_closing()
 
     def reply(self, answer: Answer, allowed_methods: str = "") -> None:
@@ -163,20 +163,20 @@
         self.transport.close()
 
     def time_out(self) -> None:
-        """End it over its time: for the call, or else for reading the answer."""
+        """End the call at its timeout: answer an incomplete one, abort one whose answer is not read."""
         if self.has_ended():
             self.transport.abort()
         else:
-            self.reply((HTTPStatus.REQUEST_TIMEOUT, "no whole call came in time"))
+            self.reply((HTTPStatus.REQUEST_TIMEOUT, "request incomplete at the time limit"))
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The connection is closed."""
+        """Unregister the connection."""
         self.timer.cancel()
         self.management.connections.pop(self, None)
 
 
 class Management:
-    """Listens for calls; the connections are bounded, and the oldest makes room for a new one."""
+    """The management server; at its connection limit, a new connection evicts the oldest one."""
 
     def __init__(self, calls: Calls, account: CpuAccounting | None = None) -> None:
         self.calls = calls
@@ -185,24 +185,24 @@
         self.server: asyncio.Server | None = None
         self.waits = WaitHistogram()
         self.evicted = 0
-        """Connections that were closed for new ones, since the start."""
+        """Connections closed to admit new ones, since the start."""
 
     async def start(self, host: str, port: int) -> None:
-        """Serve at the address. Raises OSError."""
+        """Listen at the address. Raises OSError."""
         loop = asyncio.get_running_loop()
         with closed_on_error(stream_socket((host, port))) as listening:
             self.server = await loop.create_server(lambda: CallConnection(self), sock=listening)
 
-    def opened(self, connection: CallConnection) -> None:
-        """Take a new connection; the oldest is closed where there are too many."""
+    def connection_opened(self, connection: CallConnection) -> None:
+        """Register a new connection; close the oldest one if there are too many."""
         self.connections[connection] = None
         if len(self.connections) > MAX_CONNECTIONS:
             self.evicted += 1
             next(iter(self.connections)).transport.abort()
 
-    def line(self) -> QueueStatus:
-        """The connections as a wait queue, for the metrics page."""
-        oldest_s = min((one.opened_s for one in self.connections), default=time.monotonic())
+    def queue_status(self) -> QueueStatus:
+        """Return the connections as a wait queue, for the metrics page."""
+        oldest_s = min((connection.opened_s for connection in self.connections), default=time.monotonic())
         return QueueStatus(
             "management",
             MAX_CONNECTIONS,
@@ -213,7 +213,7 @@
         )
 
     def close(self) -> None:
-        """Stop listening, and close all connections."""
+        """Stop listening and close all connections."""
         if self.server:
             self.server.close()
         for connection in list(self.connections):
--- a/orchidhatch/proxy/management_handlers.py
+++ b/orchidhatch/proxy/management_handlers.py
@@ -1,4 +1,4 @@
-"""What answers each management call."""
+"""The handlers of the management calls."""
 
 import asyncio
 import logging
@@ -17,7 +17,7 @@
 
 
 class ManagementHandlers:
-    """One method for each management call; each returns the status and the text of its answer."""
+    """One method per management call; each returns the status and the text of the answer."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         self.metrics_page = metrics_page
 
     def routes(self) -> dict[tuple[str, str], Callable[..., Answer]]:
-        """The handlers by method and path; `{id}` stands for a backend's name."""
+        """Return the handlers by method and path; `{id}` stands for a backend's name."""
         return {
             ("GET", "/healthcheck"): self.health,
             ("GET", "/stats"): self.stats,
@@ -48,46 +48,48 @@
         }
 
     def health(self) -> Answer:
-        """Whether new clients are admitted, and the policy that they are admitted by."""
+        """Return whether new clients are admitted, and the policy in force."""
         status, text = (200, "serves") if self.operator_drain.is_serving() else (503, "takes no new clients")
         return status, text + self.policy_guard.description()
 
     def stats(self) -> Answer:
-        """The counts of requests by class and ending."""
+        """Return the counts of requests by class and outcome."""
         return 200, self.metrics_page.stats()
 
     def metrics(self) -> Answer:
-        """The figures of /stats and those beyond them."""
+        """Return the counts of /stats and all further metrics."""
         return 200, self.metrics_page.metrics()
 
     def begin_maintenance(self, name: str) -> Answer:
-        """Send the backend nothing more."""
+        """Eject the backend: it gets no new attempts."""
         return self._set_maintenance(name, True)
 
     def end_maintenance(self, name: str) -> Answer:
-        """Let the backend be chosen again."""
+        """Readmit the backend."""
         return self._set_maintenance(name, False)
 
-    def _set_maintenance(self, name: str, is_out: bool) -> Answer:
-        """What the decision core rules holds for the connections too, before the answer leaves."""
-        ruling = self.dispatcher.ask(SetEjection(name, is_out))
-        if not ruling.is_accepted:
-            return 404, "no such backend was ever listed"
-        log.info("%s is %s by hand", name, "left out" if is_out else "taken back")
-        self.backends.ban(name, is_out)
-        return 200, "left out" if is_out else "may serve again"
+    def _set_maintenance(self, name: str, is_ejected: bool) -> Answer:
+        """Eject or readmit a backend in the decision core and in the pools before the call is answered."""
+        result = self.dispatcher.ask(SetEjection(name, is_ejected))
+        if not result.is_accepted:
+            return 404, "unknown backend"
+        log.info(
+            "operator changed backend: server=%s state=%s", name, "ejected" if is_ejected else "readmitted"
+        )
+        self.backends.ban(name, is_ejected)
+        return 200, "left out" if is_ejected else "may serve again"
 
     def leave_service(self) -> Answer:
-        """Start to drain."""
+        """Start a drain."""
         self.operator_drain.begin()
         return 200, "takes no new clients"
 
     def enter_service(self) -> Answer:
-        """Undo a drain and admit clients, if the policy still holds."""
+        """Undo a drain and admit clients, if the policy is still valid."""
         if self.process.state is ProcessState.ENDING:
-            return 409, "the program is ending"
+            return 409, "the gateway is shutting down"
         if not self.policy_guard.resume():
             now_s = asyncio.get_running_loop().time()
-            return 409, self.policy_guard.invalid_reason(now_s) or "its policy may hold no more"
+            return 409, self.policy_guard.invalid_reason(now_s) or "the policy may no longer be valid"
         self.operator_drain.undo()
         return 200, "takes clients"
--- a/orchidhatch/proxy/metrics_page.py
+++ b/orchidhatch/proxy/metrics_page.py
@@ -1,4 +1,4 @@
-"""The pages /stats and /metrics, read at the time of the call."""
+"""The pages /stats and /metrics, built from the state at the time of the call."""
 
 from collections import Counter
 
@@ -19,11 +19,11 @@
 
 
 class MetricsPage:
-    """Builds both pages in Prometheus's text form."""
+    """Builds both pages in Prometheus's text format."""
 
     def __init__(
         self,
-        figures: RequestMetrics,
+        request_metrics: RequestMetrics,
         dispatcher: EventDispatcher,
         requests: RequestLifecycle,
         clients: Clients,
@@ -36,7 +36,7 @@
         guard: Guard,
     ) -> None:
         self.guard = guard
-        self.figures = figures
+        self.request_metrics = request_metrics
         self.dispatcher = dispatcher
         self.requests = requests
         self.clients = clients
@@ -47,16 +47,16 @@
         self.queues = queues
         self.max_descriptors = max_descriptors
         self.queued_us: Counter[str] = Counter()
-        """Microseconds that requests were queued, by what they waited for."""
+        """Total time that requests were queued, by what they waited for."""
 
     def add_queued_time(self, action: WaitTimes) -> None:
-        """Count the time that a request was queued."""
+        """Add the time that a request was queued."""
         self.queued_us.update(dict(action.times))
 
     def stats(self) -> str:
-        """The counts of requests, and the size of the fleet."""
+        """Return the counts of requests, and the number of listed and ejected backends."""
         snapshot = self.dispatcher.ask(MetricsRequest())
-        return self.figures.text(
+        return self.request_metrics.text(
             sends_total=self.backends.sends,
             current=len(self.requests.open),
             cluster_size=snapshot.listed,
@@ -64,17 +64,19 @@
         )
 
     def metrics(self) -> str:
-        """The counts of /stats, what the process costs, and what waits in it."""
-        sections = (self._cpu(), self._memory(), self._descriptors(), self._waits(), self._ends())
+        """Return the counts of /stats and metrics of CPU time, memory, descriptors, queues and outcomes."""
+        sections = (self._cpu(), self._memory(), self._descriptors(), self._queues(), self._outcomes())
         return self.stats() + "".join(sections) + self.guard.metrics_text()
 
-    def _ends(self) -> str:
+    def _outcomes(self) -> str:
         closes = {
             f'reason="{reason.value}"': count for reason, count in sorted(self.clients.metrics.closes.items())
         }
         results = {f'result="{name}"': count for name, count in sorted(self.requests.results.items())}
         retries = {f'after="{name}"': count for name, count in sorted(self.requests.retries.items())}
-        local = {f'error="{name}"': count for name, count in sorted(self.backends.local_failures.items())}
+        local_failures = {
+            f'error="{name}"': count for name, count in sorted(self.backends.local_failures.items())
+        }
         return "".join(
             [
                 metric_text(
@@ -82,38 +84,43 @@
                 ),
                 metric_text("attempts_total", "counter", "Attempts that ended, by result.", results),
                 metric_text(
-                    "retries_total", "counter", "Further attempts, by the result before them.", retries
+                    "retries_total", "counter", "Retries, by the result of the attempt before.", retries
+                ),
+                metric_text(
+                    "local_failures_total",
+                    "counter",
+                    "Dials that failed for a local reason, by error.",
+                    local_failures,
                 ),
-                metric_text("local_failures_total", "counter", "Dials that failed on this machine.", local),
             ]
         )
 
     def _cpu(self) -> str:
         account = self.account
         by_category = {
-            f'place="{category.label}"': account.estimated_s(category) for category in CHARGED_CATEGORIES
+            f'place="{category.label}"': account.estimated_cpu_s(category) for category in CHARGED_CATEGORIES
         }
         return "".join(
             [
                 metric_text(
-                    "cpu_seconds_total", "counter", "Processor time of the process.", {"": account.total_s()}
+                    "cpu_seconds_total", "counter", "CPU time of the process.", {"": account.process_cpu_s()}
                 ),
                 metric_text(
                     "place_cpu_seconds_total",
                     "counter",
-                    "Of it, by place, estimated; the rest is the loop's.",
+                    "Estimated CPU time by place; the remainder is the event loop's.",
                     by_category,
                 ),
                 metric_text(
                     "idle_seconds_total",
                     "counter",
-                    "Time in intervals in which no request was open.",
+                    "Time in intervals without a request in flight.",
                     {"": account.idle_s},
                 ),
                 metric_text(
                     "idle_cpu_seconds_total",
                     "counter",
-                    "Processor time in those intervals.",
+                    "CPU time in intervals without a request in flight.",
                     {"": account.idle_cpu_s()},
                 ),
             ]
@@ -125,18 +132,18 @@
         peak = {"": peak_resident_bytes()}
         return "".join(
             [
-                metric_text("resident_bytes", "gauge", "Memory held now.", resident_values),
-                metric_text("peak_resident_bytes", "gauge", "The most memory held so far.", peak),
+                metric_text("resident_bytes", "gauge", "Resident memory.", resident_values),
+                metric_text("peak_resident_bytes", "gauge", "Peak resident memory since the start.", peak),
                 metric_text(
                     "held_bytes",
                     "gauge",
-                    "Commands that are not answered.",
+                    "Size of the commands that are not answered yet.",
                     {"": self.requests.open_command_bytes},
                 ),
                 metric_text(
                     "unsent_bytes",
                     "gauge",
-                    "What waits for slow clients.",
+                    "Bytes buffered for slow clients.",
                     {"": self.clients.backlog.unsent_bytes},
                 ),
             ]
@@ -154,18 +161,20 @@
         by_holder = {f'holder="{name}"': count for name, count in holders.items()}
         return "".join(
             [
-                metric_text("descriptors", "gauge", "Descriptors held, by holder.", by_holder),
-                metric_text("descriptors_limit", "gauge", "Descriptors allowed.", {"": self.max_descriptors}),
+                metric_text("descriptors", "gauge", "Open descriptors, by holder.", by_holder),
+                metric_text(
+                    "descriptors_limit", "gauge", "Limit on descriptors.", {"": self.max_descriptors}
+                ),
                 metric_text(
                     "out_of_descriptors_total",
                     "counter",
-                    "Connections to backends without a descriptor left.",
+                    "Dials to backends that failed for lack of descriptors.",
                     {"": self.backends.out_of_descriptors},
                 ),
             ]
         )
 
-    def _waits(self) -> str:
+    def _queues(self) -> str:
         snapshot = self.dispatcher.ask(MetricsRequest())
         queued_s = {f'reason="{reason}"': us / 1e6 for reason, us in sorted(self.queued_us.items())}
         unserved = {f'reason="{reason}"': count for reason, count in snapshot.ended}
@@ -173,23 +182,25 @@
             'what="command"': self.clients.metrics.malformed_commands,
             'what="stream"': self.clients.metrics.malformed_streams,
         }
-        dropped = {'why="malformed"': self.peers.malformed, 'why="stranger"': self.peers.strange}
+        dropped = {'why="malformed"': self.peers.malformed, 'why="stranger"': self.peers.from_unknown_senders}
         return queue_metrics_text(self.queues.statuses(snapshot)) + "".join(
             [
                 metric_text(
                     "held_seconds_total",
                     "counter",
-                    "Time that requests waited unsent, by what for.",
+                    "Time that requests were queued, by what they waited for.",
                     queued_s,
                 ),
                 metric_text(
-                    "unserved_total", "counter", "Requests ended unserved, by what they lacked.", unserved
+                    "unserved_total", "counter", "Requests that ended unserved, by reason.", unserved
+                ),
+                metric_text(
+                    "malformed_total", "counter", "Malformed input from clients, by type.", malformed
                 ),
-                metric_text("malformed_total", "counter", "What clients sent that is no request.", malformed),
                 metric_text(
                     "datagrams_dropped_total",
                     "counter",
-                    "Datagrams from peers that were not taken.",
+                    "Datagrams dropped on receipt, by reason.",
                     dropped,
                 ),
             ]
--- a/orchidhatch/proxy/operator_drain.py
+++ b/orchidhatch/proxy/operator_drain.py
@@ -1,4 +1,4 @@
-"""Taking the gateway out of service and back by management calls, and by the loss of its policy lease."""
+"""Drain and return to service by management call, and suspended admission while the policy is uncertain."""
 
 import asyncio
 import contextlib
@@ -13,12 +13,12 @@
 
 log = logging.getLogger(__name__)
 
-# How long a drain waits at most for the load balancer in front to poll and get the first negative answer.
-FRONT_POLL_S = 1.0
-# After that answer new connections go on coming for 0.2 s.
-LATE_CONNECTIONS_S = 0.4
-# After the call: what comes later on a kept connection is left to another gateway.
-LAST_READ_S = 1.5
+# How long a drain waits for the load balancer in front to poll and get its first negative answer.
+FRONT_POLL_TIMEOUT_S = 1.0
+# New connections keep arriving for 0.2 s after that answer.
+LATE_CONNECTION_GRACE_S = 0.4
+# Time after the call at which reading stops; later requests on a kept connection are left to other gateways.
+READ_PERIOD_S = 1.5
 
 
 class OperatorDrain:
@@ -30,42 +30,44 @@
         self.post = post
         self.policy_guard: PolicyGuard
         self.task: asyncio.Task[None] | None = None
-        """The drain under way or finished, until it is undone."""
+        """The drain in progress or finished, until it is undone."""
 
     def connect(self, policy_guard: PolicyGuard) -> None:
         """Set the policy guard, which is itself created with `suspend_admission`."""
         self.policy_guard = policy_guard
 
     def is_serving(self) -> bool:
-        """Whether new clients are admitted."""
+        """Return whether new clients are admitted."""
         is_up = self.process.state is ProcessState.SERVING
         return is_up and self.task is None and not self.policy_guard.is_suspended
 
     def suspend_admission(self, is_suspended: bool) -> None:
-        """Have the decision core reject every new request, or admit them again."""
+        """Make the decision core reject every new request, or admit requests again."""
         self.post(SuspendAdmission(is_suspended))
         is_ending = self.process.state is ProcessState.ENDING
         self.clients.accepts_clients = not is_suspended and self.task is None and not is_ending
 
     def begin(self) -> None:
-        """Start to drain, unless a drain is under way or the process is ending."""
+        """Start a drain, unless a drain is in progress or the process is ending."""
         if self.task is None and self.process.state is not ProcessState.ENDING:
             log.info("takes no new clients, by call, at %d us", now_us())
             self.clients.accepts_clients = False
             self.task = asyncio.get_running_loop().create_task(self._drain())
 
     async def _drain(self) -> None:
-        """Serve until the load balancer has been answered no, then close the connections that were kept."""
+        """Serve until the load balancer got a negative answer, then close the remaining connections."""
         loop = asyncio.get_running_loop()
         called_s = loop.time()
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(self.clients.ping_rejected.wait(), FRONT_POLL_S)
-        await asyncio.sleep(LATE_CONNECTIONS_S)
+            await asyncio.wait_for(self.clients.ping_rejected.wait(), FRONT_POLL_TIMEOUT_S)
+        await asyncio.sleep(LATE_CONNECTION_GRACE_S)
         self.clients.drain()
-        await asyncio.sleep(called_s + LAST_READ_S - loop.time())
+        await asyncio.sleep(called_s + READ_PERIOD_S - loop.time())
         self.clients.read_no_more()
-        if self.policy_guard.policy:  # a late client would be admitted by a policy that may no longer hold
-            self.policy_guard.suspend("it was emptied")
+        if (
+            self.policy_guard.policy
+        ):  # a late client must not be admitted under a policy that may have expired
+            self.policy_guard.suspend("drained by management call")
 
     def undo(self) -> None:
         """Admit clients again."""
@@ -76,6 +78,6 @@
             self.clients.undo_drain()
 
     def close(self) -> None:
-        """Cancel a drain that is under way."""
+        """Cancel a drain that is in progress."""
         if self.task is not None:
             self.task.cancel()
--- a/orchidhatch/proxy/peers.py
+++ b/orchidhatch/proxy/peers.py
@@ -11,11 +11,11 @@
 from orchidhatch.proxy.wait_queues import WaitHistogram
 
 MAX_UNSENT_BYTES = 16 * 1024
-"""Bytes that wait for the socket; past that datagrams are dropped, as they may be on the way."""
+"""Bytes buffered for the socket; beyond that, datagrams are dropped, as the network may drop them anyway."""
 
 
 class Peers(asyncio.DatagramProtocol):
-    """Datagrams to and from the other gateways; what strangers send or what is malformed is dropped."""
+    """Datagrams to and from the other gateways; malformed ones and those of unknown senders are dropped."""
 
     def __init__(
         self,
@@ -29,23 +29,23 @@
         self.on_message = on_message
         self.account = account or CpuAccounting()
         self.policy_mark = 0
-        """Of the policy that the messages from here go by."""
+        """The mark of the policy that sent messages are based on."""
         self.senders = {address: index for index, address in enumerate(addresses) if index != gateway_index}
         self.transport: asyncio.DatagramTransport | None = None
         self.is_writable = True
         self.waits = WaitHistogram()
-        # Datagrams since the start: not sent, unreadable, and from addresses of no peer.
+        # Datagrams since the start: dropped on sending, malformed, and from unknown senders.
         self.dropped = 0
         self.malformed = 0
-        self.strange = 0
+        self.from_unknown_senders = 0
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:
-        """The socket is open."""
+        """Record that the socket is open."""
         self.transport = transport
         transport.set_write_buffer_limits(MAX_UNSENT_BYTES)
 
     def datagram_received(self, data: bytes, address: Address) -> None:
-        """Read a datagram."""
+        """Process a datagram."""
         previous_category = self.account.enter(CostCategory.PEERS)
         try:
             self._read(data, self.senders.get(address))
@@ -54,7 +54,7 @@
 
     def _read(self, data: bytes, sender: int | None) -> None:
         if sender is None:
-            self.strange += 1
+            self.from_unknown_senders += 1
             return
         messages, observations = unpack_message(data)
         if messages:
@@ -63,18 +63,18 @@
             self.malformed += 1
 
     def error_received(self, error: OSError) -> None:
-        """A peer that is down may show as an error here; datagrams may be lost in any case."""
+        """Ignore the error, such as of a peer that is down; datagrams may be lost in any case."""
 
     def pause_writing(self) -> None:
-        """The socket takes no more for now."""
+        """Record that the socket's buffer is full."""
         self.is_writable = False
 
     def resume_writing(self) -> None:
-        """The socket takes datagrams again."""
+        """Record that the socket accepts datagrams again."""
         self.is_writable = True
 
     def send(self, action: SendGossip) -> None:
-        """Send the messages to their peer; they are dropped where the socket takes no more."""
+        """Send the messages to their peer, or drop them while the socket's buffer is full."""
         self.waits.note(action.waited_us)
         if not self.is_writable:
             self.dropped += 1
--- a/orchidhatch/proxy/periodic_log.py
+++ b/orchidhatch/proxy/periodic_log.py
@@ -1,6 +1,6 @@
-"""The log lines that show every few seconds what went through and what it cost.
+"""The log lines that report the traffic and the cost of each interval of a few seconds.
 
-scripts/fleet-table reads these lines, so their form stays.
+scripts/fleet-table parses these lines, so their format must not change.
 """
 
 import asyncio
@@ -16,12 +16,12 @@
 log = logging.getLogger(__name__)
 
 LOG_INTERVAL_S = 5.0
-# Customers in one line, those that spent most.
+# The customers of one line: those that spent most.
 MAX_LOGGED_CUSTOMERS = 200
 
 
 class PeriodicLog:
-    """Writes the counts of each interval, and clears them."""
+    """Writes the counts of each interval, and resets them."""
 
     def __init__(
         self,
@@ -42,17 +42,17 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def schedule(self) -> None:
-        """Write the next lines after LOG_INTERVAL_S."""
+        """Schedule the next lines after LOG_INTERVAL_S."""
         loop = asyncio.get_running_loop()
         self.timer = loop.call_later(LOG_INTERVAL_S, self.account.run, CostCategory.LOG, self.write)
 
     def close(self) -> None:
-        """Write no more lines."""
+        """Stop the periodic lines."""
         if self.timer:
             self.timer.cancel()
 
     def write(self) -> None:
-        """Write the lines of this interval and start the next."""
+        """Write the lines of this interval and start the next one."""
         self._write_traffic()
         self._write_cost()
         self._write_shares()
@@ -63,12 +63,12 @@
         self.schedule()
 
     def _write_traffic(self) -> None:
-        """Write what went through and the state of the sockets; the core's own line says what decided it."""
-        passed = " ".join(f"{what}={count}" for what, count in sorted(self.requests.tally.items()))
-        sockets = " ".join(f"{what}={count}" for what, count in sorted(self.backends.tally.items()))
+        """Write the interval's traffic and socket counts; the core's own line reports its decisions."""
+        traffic = " ".join(f"{name}={count}" for name, count in sorted(self.requests.tally.items()))
+        sockets = " ".join(f"{name}={count}" for name, count in sorted(self.backends.tally.items()))
         log.info(
             "%s; open %d, longest batch %.1f ms; clients %d, to backends %d: %s",
-            passed or "idle",
+            traffic or "idle",
             len(self.requests.open),
             self.dispatcher.longest_batch_us / 1000,
             len(self.clients.connections),
@@ -77,7 +77,7 @@
         )
 
     def _write_shares(self) -> None:
-        """Write what only all gateways' lines show together: attempts by backend, units by customer."""
+        """Write attempts by backend and units by customer, which add up over the gateways of a tier."""
         sent = self.requests.sent
         by_backend = " ".join(
             f"{name}={sent[name]}/{len(pool.connections)}"
@@ -91,7 +91,7 @@
         log.info("shares: to %s; spent %s", by_backend or "-", spent or "-")
 
     def _write_cost(self) -> None:
-        """Write the interval's CPU time, exact for the process, estimated by category, and memory."""
+        """Write the interval's CPU time, exact in total and estimated by category, and the memory in use."""
         request_count = self.requests.tally["asked"]
         is_idle = not request_count and not self.requests.open
         interval_s, cpu_s = self.account.end_interval(is_idle)
@@ -109,10 +109,10 @@
         )
 
     def _cost_by_category(self) -> str:
-        """The CPU time of each category since the last call, in ms."""
+        """Return the CPU time of each category since the last call, in ms."""
         costs = []
         for category in CHARGED_CATEGORIES:
-            total_s = self.account.estimated_s(category)
+            total_s = self.account.estimated_cpu_s(category)
             interval_s = total_s - self.logged_cpu_s.get(category, 0)
             self.logged_cpu_s[category] = total_s
             costs.append(f"{category.label} {interval_s * 1e3:.1f}")
--- a/orchidhatch/proxy/policy_guard.py
+++ b/orchidhatch/proxy/policy_guard.py
@@ -1,9 +1,9 @@
-"""Suspends admission while the gateway cannot know that the policy it goes by still holds.
+"""Suspension of admission while the gateway cannot know that its policy is still valid.
 
-A gateway under a policy starts with admission suspended. It suspends admission itself after its event loop
-stalled or its agent was silent, as its policy lease may have been lost meanwhile and another policy may hold
-by now; and when its own policy's time ends before its agent has put it under the next one. The management
-call `healthcheck/ok`, by which the agent confirms the policy, resumes admission.
+A gateway under a policy starts with admission suspended. It also suspends admission after its event loop
+stalled or its agent was silent, as its policy lease may have expired meanwhile and another policy may be
+valid; and when its policy ends before its agent has given it the next one. The management call
+`healthcheck/ok`, by which the agent confirms the policy, resumes admission.
 """
 
 import asyncio
@@ -16,16 +16,15 @@
 log = logging.getLogger(__name__)
 
 CHECK_INTERVAL_S = 0.2
-# Longer than a full core keeps a turn of the event loop waiting.
+# Above the delay of an event loop turn on a fully loaded core.
 MAX_STALL_S = 1.0
 
 
 class PolicyGuard:
-    """Owner of whether admission is suspended over the policy.
+    """Owner of whether admission is suspended because of the policy.
 
-    `policy` is the policy that the gateway was put under, None for a gateway that is under none.
-    `last_contact_s` returns when the agent was last in contact, `set_suspended` is called with each change.
-    Times are of the monotonic clock, in seconds.
+    `policy` is None for a gateway under no policy. `last_contact_s` returns when the agent was last in
+    contact; `set_suspended` is called with each change. Times are on the monotonic clock, in seconds.
     """
 
     def __init__(
@@ -44,23 +43,23 @@
         self.last_check_s = clock()
 
     def begin(self, is_suspended: bool) -> None:
-        """Begin to check, at the start or when the gateway is put under its first policy."""
+        """Start the checks, at the start or when the gateway gets its first policy."""
         if self.policy is None or self.is_running:
             return
         self.is_running = True
         self.last_check_s = self.clock()
         self._check_periodically()
         if is_suspended:
-            self.suspend("it has just started")
+            self.suspend("gateway has just started")
 
     def _check_periodically(self) -> None:
         self.check()
         asyncio.get_running_loop().call_later(CHECK_INTERVAL_S, self._check_periodically)
 
     def check(self) -> None:
-        """Suspend admission if the policy may not hold any more.
+        """Suspend admission if the policy may no longer be valid.
 
-        Called before each admission too, as after a stall a request may go ahead of the timer.
+        Also called before each admission, as after a stall a request may be processed before the timer.
         """
         if self.policy is None:
             return
@@ -68,25 +67,25 @@
         stall_s = now_s - self.last_check_s
         self.last_check_s = now_s
         if stall_s > MAX_STALL_S:
-            self.suspend(f"it stood still for {stall_s:.1f} s")
+            self.suspend(f"event loop stalled for {stall_s:.1f} s")
             return
         reason = self.invalid_reason(now_s)
         if reason:
             self.suspend(reason)
 
     def invalid_reason(self, now_s: float) -> str:
-        """Why the policy may not hold any more at `now_s`, "" if it holds."""
+        """Return why the policy may not be valid at `now_s`, "" if it is valid."""
         policy = self.policy
         if policy is None:
             return ""
         if 0 < policy.until_us <= now_s * 1e6:
-            return "another policy holds from now on"
+            return "policy has ended"
         if now_s - self.last_contact_s() > policy.silent_s:
             return "discovery is silent"
         return ""
 
     def suspend(self, reason: str) -> None:
-        """Suspend admission, unless it is suspended."""
+        """Suspend admission, unless it is suspended already."""
         if self.is_suspended:
             return
         log.warning("admission suspended: reason=%s", reason)
@@ -94,7 +93,7 @@
         self.set_suspended(True)
 
     def resume(self) -> bool:
-        """Resume admission, as the agent confirms the policy; False if the policy cannot hold."""
+        """Resume admission, as the agent confirms the policy; return False if the policy cannot be valid."""
         self.check()
         if self.invalid_reason(self.clock()):
             return False
@@ -104,5 +103,5 @@
         return True
 
     def description(self) -> str:
-        """The policy as a suffix for the answer of the health check."""
+        """Return the policy as a suffix for the answer of the health check."""
         return f"; {self.policy.log_text()}" if self.policy else ""
--- a/orchidhatch/proxy/socket_inspection.py
+++ b/orchidhatch/proxy/socket_inspection.py
@@ -1,4 +1,4 @@
-"""What the kernel holds of a connection beyond what the event loop has read of it.
+"""The kernel's state of a connection, beyond what the event loop has read.
 
 For decisions that must not wait for the event loop's next turn.
 """
@@ -9,17 +9,17 @@
 import select
 import termios
 
-# The integer that FIONREAD gives where nothing is unread.
+# The integer that FIONREAD returns if nothing is unread.
 NO_BYTES = bytes(4)
 
 
 def descriptor_of(transport: asyncio.BaseTransport) -> int:
-    """The descriptor of the transport's socket."""
+    """Return the descriptor of the transport's socket."""
     return transport.get_extra_info("socket").fileno()
 
 
 def unread(transport: asyncio.BaseTransport) -> bool:
-    """Whether bytes have come that were not read yet; False for a closed socket."""
+    """Return whether received bytes are unread; False for a closed socket."""
     try:
         unread_count = fcntl.ioctl(descriptor_of(transport), termios.FIONREAD, NO_BYTES)
     except OSError:
@@ -27,18 +27,18 @@
     return unread_count != NO_BYTES
 
 
-def spoken(transport: asyncio.BaseTransport) -> bool:
-    """Whether the other side has sent anything, if only its end, that was not read yet."""
-    return poll_events(transport, select.POLLIN) != 0
+def has_input_or_close(transport: asyncio.BaseTransport) -> bool:
+    """Return whether received bytes or the peer's close are unread; also true for a closed socket."""
+    return pending_events(transport, select.POLLIN) != 0
 
 
 def left(transport: asyncio.BaseTransport) -> bool:
-    """Whether the other side has closed, behind whatever of it is unread."""
-    return poll_events(transport, select.POLLRDHUP) != 0
+    """Return whether the peer has closed the connection, even if data before the close is unread."""
+    return pending_events(transport, select.POLLRDHUP) != 0
 
 
-def poll_events(transport: asyncio.BaseTransport, events: int) -> int:
-    """Those of the events, and errors, that are pending; POLLNVAL for a closed socket."""
+def pending_events(transport: asyncio.BaseTransport, events: int) -> int:
+    """Return which of the events, or errors, are pending; POLLNVAL for a closed socket."""
     poller = select.poll()
     with contextlib.suppress(OSError, ValueError):
         poller.register(descriptor_of(transport), events)
--- a/orchidhatch/proxy/start_times.py
+++ b/orchidhatch/proxy/start_times.py
@@ -1,8 +1,9 @@
-"""When backends started, on this process's monotonic clock.
+"""The start times of backends, on this process's monotonic clock.
 
-Endpoint lists state starts by the wall clock, which may be stepped on any machine, by seconds or by hours.
-What a gateway knows without it: a start that a watch brings for the first time came after the list was last
-known to be current, and is over by now. A start that is known keeps its time, also in a successor process.
+Endpoint lists state start times by the wall clock, which may be stepped on any machine, by seconds or by
+hours. Without that clock, a gateway knows that a start which a watch reports for the first time was after the
+list was last known to be current, and is not in the future. A known start keeps its time, also in a successor
+process.
 """
 
 import time
@@ -12,28 +13,28 @@
 from orchidhatch.proxy.clock import now_us
 
 LONG_AGO = 0
-"""A start of which nothing is known, on either clock."""
+"""The time of an unknown start, on either clock."""
 MAX_REMEMBERED = 8192
-"""Backends whose starts are remembered, those of the list and of backends that left it."""
+"""Backends whose start times are kept, whether they are in the list or were removed from it."""
 
 
 class KnownStart(NamedTuple):
-    """A start as the list states it, in Unix milliseconds, and as computed on the monotonic clock."""
+    """A start time as stated in the list, in Unix milliseconds, and as computed on the monotonic clock."""
 
     stated_ms: float
     started_us: int
 
 
 def wall_clock_us() -> int:
-    """Microseconds since the epoch by this machine's wall clock, which may be stepped."""
+    """Return microseconds since the epoch by this machine's wall clock, which may be stepped."""
     return time.time_ns() // 1000
 
 
 def bounded_start_us(stated_us: float, wall_now_us: int, now: int, earliest_us: int | None) -> int:
-    """A start on the monotonic clock, from its wall-clock time.
+    """Convert a start time from the wall clock to the monotonic clock, within what is known of it.
 
-    `earliest_us` is when the list without this start was last known to be current, None if never. All in
-    microseconds. The result is never 0, which stands for long ago.
+    `earliest_us` is when the list without this start was last known to be current, None if never. All times
+    are in microseconds. The result is never 0, which is LONG_AGO.
     """
     computed_us = now - round(wall_now_us - stated_us)
     if earliest_us is not None:
@@ -42,7 +43,7 @@
 
 
 class StartTimes:
-    """The starts of all backends that lists have named, bounded in number."""
+    """The start times of all backends that lists have named, limited in number."""
 
     def __init__(
         self, clock_us: Callable[[], int] = now_us, wall_clock: Callable[[], int] = wall_clock_us
@@ -53,13 +54,13 @@
         self._confirmed_us: int | None = None
 
     def confirm(self) -> None:
-        """The list is current as of now: a watch has brought a whole line, or nothing new."""
+        """Record that the list is current: a watch has brought a complete update or a heartbeat."""
         self._confirmed_us = self._clock_us()
 
     def started_us(self, name: str, stated_ms: float) -> int:
-        """When a backend started, in microseconds of the monotonic clock; LONG_AGO stays as it is.
+        """Return when a backend started, in microseconds of the monotonic clock; LONG_AGO stays unchanged.
 
-        Raises OverflowError or ValueError for a time beyond all numbers.
+        Raises OverflowError or ValueError if `stated_ms` is infinite or not a number.
         """
         if stated_ms == LONG_AGO:
             return LONG_AGO
@@ -73,7 +74,7 @@
         return known.started_us
 
     def adopt(self, starts: Iterable[tuple[str, KnownStart]]) -> None:
-        """Go on from what a predecessor process computed; both have one monotonic clock."""
+        """Adopt the start times that a predecessor process computed; both use the same monotonic clock."""
         for name, start in starts:
             self._known.pop(name, None)
             self._remember(name, start)
--- a/orchidhatch/proxy/wait_queues.py
+++ b/orchidhatch/proxy/wait_queues.py
@@ -1,4 +1,4 @@
-"""The queues where work waits: how much may and does, since when, and how long it waited."""
+"""The queues where work waits: their limits, their depths, and how long work has waited."""
 
 from bisect import bisect_left
 from collections.abc import Iterable, Sequence
@@ -6,12 +6,12 @@
 
 from orchidhatch.proxy.metrics import metric_text
 
-# Upper bounds of a histogram's buckets: from a turn of the event loop to the longest deadlines.
+# The upper bounds of the histogram's buckets: from an event loop turn to the longest deadlines.
 BUCKET_BOUNDS_MS = (1, 5, 20, 50, 100, 250, 500, 1000, 2500, 5000, 10_000)
 
 
 class WaitHistogram:
-    """Counts of waits by length; of a fixed size, however many waits."""
+    """Counts of waits by duration; its size is fixed."""
 
     def __init__(self) -> None:
         self.counts = [0] * (len(BUCKET_BOUNDS_MS) + 1)
@@ -23,7 +23,7 @@
         self.sum_us += wait_us
 
     def samples_text(self, queue: str) -> str:
-        """The samples of a Prometheus histogram, whose buckets are cumulative."""
+        """Return the samples of a Prometheus histogram, whose buckets are cumulative."""
         bounds = [*(f"{bound_ms / 1000:g}" for bound_ms in BUCKET_BOUNDS_MS), "+Inf"]
         lines = []
         cumulative = 0
@@ -37,11 +37,11 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueStatus:
-    """A queue as it is now.
+    """The current status of a queue.
 
-    `depth` is what waits and `bound` how much may, in units of the queue's own. `oldest_us` is how long the
-    oldest entry has waited, 0 where nothing waits. `rejected` counts what was rejected, cut or dropped since
-    the start, as the queue was full or it had waited too long.
+    `depth` is how much waits and `bound` its limit, in the queue's own unit. `oldest_us` is how long the
+    oldest entry has waited, 0 if the queue is empty. `rejected` counts entries that were rejected, cut off or
+    dropped since the start, because the queue was full or they had waited too long.
     """
 
     name: str
@@ -53,28 +53,28 @@
 
 
 def oldest_age(now: int, since: Iterable[int]) -> int:
-    """How long before `now` the first of the times was, in their unit; 0 where there is none."""
+    """Return the time from the earliest of `since` until `now`, in their unit; 0 if `since` is empty."""
     return now - min(since, default=now)
 
 
 def queue_metrics_text(queues: Sequence[QueueStatus]) -> str:
-    """The metrics of all queues in Prometheus's text form."""
+    """Return the metrics of all queues in Prometheus's text format."""
     labels = {queue.name: f'place="{queue.name}"' for queue in queues}
     depths = {labels[queue.name]: queue.depth for queue in queues}
     bounds = {labels[queue.name]: queue.bound for queue in queues}
     ages_s = {labels[queue.name]: queue.oldest_us / 1e6 for queue in queues}
     rejected = {labels[queue.name]: queue.rejected for queue in queues}
     histogram_head = (
-        "# HELP proxy_wait_seconds How long what has left a place had waited there.\n"
+        "# HELP proxy_wait_seconds How long work waited at a place, observed when it left.\n"
         "# TYPE proxy_wait_seconds histogram\n"
     )
     return "".join(
         [
             metric_text("waiting", "gauge", "What waits now, by place.", depths),
-            metric_text("waiting_bound", "gauge", "How much may wait there.", bounds),
-            metric_text("waiting_oldest_seconds", "gauge", "How long the oldest of it has waited.", ages_s),
+            metric_text("waiting_bound", "gauge", "Limit on what may wait, by place.", bounds),
+            metric_text("waiting_oldest_seconds", "gauge", "Wait of the oldest entry, by place.", ages_s),
             metric_text(
-                "turned_away_total", "counter", "What a place turned away, cut or dropped.", rejected
+                "turned_away_total", "counter", "Entries rejected, cut off or dropped, by place.", rejected
             ),
             histogram_head,
             *[queue.waits.samples_text(queue.name) for queue in queues],
--- a/orchidhatch/proxy/watch_connection.py
+++ b/orchidhatch/proxy/watch_connection.py
@@ -25,16 +25,16 @@
     ArithmeticError,
     RecursionError,
 )
-"""What a malformed watch event may raise; one that is nested deeply a RecursionError."""
+"""The exceptions that a malformed watch event may raise; a deeply nested one raises RecursionError."""
 
 
 class WatchState(Enum):
-    """How far a watch has come; TRANSITIONS has the changes."""
+    """The progress of a watch; TRANSITIONS lists the allowed changes."""
 
     CONNECTING = "connecting"
     REQUESTED = "requested"
     ACCEPTED = "accepted"
-    """Discovery has answered with 200, and sends events."""
+    """Discovery has answered with status 200 and sends events."""
     ENDED = "ended"
 
 
@@ -44,13 +44,13 @@
     WatchState.ACCEPTED: {WatchState.ENDED},
     WatchState.ENDED: set[WatchState](),
 }
-"""From each state, the states that may follow."""
+"""For each state, the states that may follow."""
 
 
 class WatchConnection(asyncio.Protocol):
-    """A watch: sends its request, and hands on the values and heartbeats that come.
+    """A watch: sends its request and passes on the values and heartbeats that arrive.
 
-    `on_value` gets each JSON value, `on_accepted` is called once the watch is accepted, `on_heartbeat` at
+    `on_value` is called with each JSON value, `on_accepted` once the watch is accepted, `on_heartbeat` at
     each empty line.
     """
 
@@ -65,7 +65,7 @@
     ) -> None:
         self.target = target
         self.host = host
-        self.values = JsonLineReader(on_value)
+        self.value_reader = JsonLineReader(on_value)
         self.on_accepted = on_accepted
         self.on_heartbeat = on_heartbeat
         self.account = account
@@ -74,14 +74,14 @@
         self.state = WatchState.CONNECTING
         self.was_accepted = False
         self.was_malformed = False
-        """Whether it brought an event that could not be read."""
+        """Whether it received an event that could not be read."""
         self.opened_s = time.monotonic()
         self.last_received_s = self.opened_s
         self.ended = asyncio.get_running_loop().create_future()
         self.transport: asyncio.Transport | None = None
 
     def _enter(self, state: WatchState) -> None:
-        """Change the state. Raises ValueError for what is no transition."""
+        """Change the state. Raises ValueError if the transition is not allowed."""
         if state not in TRANSITIONS[self.state]:
             raise ValueError(f"watch state {self.state.value} cannot become {state.value}")
         self.state = state
@@ -94,7 +94,7 @@
         transport.write(self.http.send(request) + self.http.send(h11.EndOfMessage()))
 
     def data_received(self, data: bytes) -> None:
-        """Read what has come; a malformed event ends the watch."""
+        """Process received bytes; a malformed event ends the watch."""
         self.last_received_s = time.monotonic()
         previous_category = self.account.enter(CostCategory.DISCOVERY)
         try:
@@ -108,14 +108,14 @@
             self.account.leave(previous_category)
 
     def eof_received(self) -> None:
-        """The other side has ended the connection, which ends a response that states no length.
+        """Handle the peer's close, which completes a response without a stated length.
 
-        A reset is no such end: what is left then of a value is dropped.
+        After a reset instead of a close, the rest of an incomplete value is dropped.
         """
-        with contextlib.suppress(h11.ProtocolError):  # cut off amid a chunk: nothing was whole
+        with contextlib.suppress(h11.ProtocolError):  # closed within a chunk: no complete value is left
             self.http.receive_data(b"")
             if isinstance(self.http.next_event(), h11.EndOfMessage):
-                self._take_last_line()
+                self._read_last_line()
 
     def connection_lost(self, error: Exception | None) -> None:
         """Report the end of the watch."""
@@ -124,46 +124,46 @@
             self.ended.set_result(None)
 
     def has_ended(self) -> bool:
-        """Whether its connection is closed."""
+        """Return whether the connection is closed."""
         return self.ended.done()
 
     def has_unread(self) -> bool:
-        """Whether bytes have come that were not read yet."""
+        """Return whether received bytes are unread."""
         transport = self.transport
         return transport is not None and not transport.is_closing() and socket_inspection.unread(transport)
 
     def close(self) -> None:
-        """End the watch."""
+        """Abort the connection."""
         if self.transport:
             self.transport.abort()
 
     def _on_http_event(self, event: h11.Event) -> None:
         if isinstance(event, h11.Response):
             if event.status_code != 200:
-                raise ValueError(f"status {event.status_code}")
+                raise ValueError(f"watch refused with status {event.status_code}")
             self._enter(WatchState.ACCEPTED)
             self.was_accepted = True
             self.on_accepted(self)
         if isinstance(event, h11.Data):
-            self._take_lines(event.data)
+            self._read_lines(event.data)
         if isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
             self.close()
 
-    def _take_lines(self, data: bytes) -> None:
+    def _read_lines(self, data: bytes) -> None:
         self.buffer += data
         *lines, self.buffer = self.buffer.split(b"\n")
         for line in lines:
             if line.strip():
-                self.values.feed(bytes(line))
+                self.value_reader.feed(bytes(line))
             else:
                 self.on_heartbeat()
         if len(self.buffer) > MAX_VALUE_BYTES:
-            raise ValueError("a line without an end")
+            raise ValueError("line too long or not terminated")
 
-    def _take_last_line(self) -> None:
+    def _read_last_line(self) -> None:
         try:
             if self.buffer.strip():
-                self.values.feed(bytes(self.buffer))
+                self.value_reader.feed(bytes(self.buffer))
         except MALFORMED as error:
             self._note_malformed(error)
 
--- a/orchidhatch/proxy/work_queues.py
+++ b/orchidhatch/proxy/work_queues.py
@@ -1,4 +1,4 @@
-"""Where work can wait in the gateway, from the clients' sockets to the log, as it is now."""
+"""The current status of every place where work can wait, from the clients' sockets to the log."""
 
 from orchidhatch.gateway.actions import MetricsSnapshot
 from orchidhatch.gateway.peer_outbox import MESSAGES_LIMIT
@@ -13,7 +13,7 @@
 
 
 class WorkQueues:
-    """Reads the depth, the bound and the oldest entry of every place where work waits."""
+    """Reads the depth, the limit and the oldest entry of every place where work waits."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         self.max_open = max_open
 
     def statuses(self, snapshot: MetricsSnapshot) -> list[QueueStatus]:
-        """All places, in the order in which a request passes them."""
+        """Return the status of all places, in the order in which a request passes them."""
         return [
             self._unread_clients(),
             self._partial_commands(),
@@ -43,7 +43,7 @@
             self._unanswered_attempts(),
             self._unsent_bytes(),
             self._peer_messages(snapshot),
-            self.management.line(),
+            self.management.queue_status(),
             *([self.writer.queue_status()] if self.writer else []),
         ]
 
@@ -84,28 +84,28 @@
 
     def _connecting_attempts(self) -> QueueStatus:
         backends = self.backends
-        connecting = backends.waiting()
+        connecting = backends.connecting_attempts()
         oldest_us = oldest_age(now_us(), (attempt.sent_us for attempt in connecting))
         return QueueStatus(
             "connecting",
-            backends.most,
+            backends.max_connections,
             len(connecting),
             oldest_us,
-            backends.no_room,
+            backends.attempts_without_socket,
             backends.connect_waits,
         )
 
     def _unanswered_attempts(self) -> QueueStatus:
         backends = self.backends
-        unanswered = backends.unanswered()
+        unanswered = backends.unanswered_attempts()
         oldest_us = oldest_age(now_us(), (attempt.written_us for attempt in unanswered))
         return QueueStatus(
             "backend",
-            backends.most,
+            backends.max_connections,
             len(unanswered),
             oldest_us,
             backends.timed_out,
-            backends.answer_waits,
+            backends.reply_waits,
         )
 
     def _unsent_bytes(self) -> QueueStatus:
--- a/tests/proxy/test_backend_pool.py
+++ b/tests/proxy/test_backend_pool.py
@@ -27,7 +27,7 @@
 
     def __init__(self, address: Address, idle_us: int = 30 * S, most: int = 50) -> None:
         self.backends = Backends(idle_us, 200_000, most)
-        self.backends.update({"s": EndpointState.UP}, {"s": address}, whole=True)
+        self.backends.update({"s": EndpointState.UP}, {"s": address}, is_full=True)
         self.ended: asyncio.Queue[tuple[AttemptResult, bytes | None, LoadReport | None]] = asyncio.Queue()
 
     def send(self, payload: bytes = resp("PING"), timeout_us: int = 5 * S) -> Attempt:
@@ -211,7 +211,7 @@
     """It was idle at another backend, and is no more."""
     backend = Backend(lambda arguments: value(b"x"))
     sender = Sender(await backend.start(), most=1)
-    sender.backends.update({"t": EndpointState.UP}, {"t": backend.address}, whole=False)
+    sender.backends.update({"t": EndpointState.UP}, {"t": backend.address}, is_full=False)
     sender.send()
     assert await sender.result() is AttemptResult.OK
     rest()
@@ -228,7 +228,7 @@
     sender = Sender(await backend.start())
     sender.send()
     await backend.came.wait()
-    sender.backends.update({}, {}, whole=True)
+    sender.backends.update({}, {}, is_full=True)
     backend.writers[0].write(value(b"x"))
     assert await sender.result() is AttemptResult.OK
     await backend.left.wait()
@@ -265,7 +265,7 @@
         reader, came = ReplyReader(1 << 16), []
         for byte in stream:
             reader.feed(bytes([byte]))
-            if (reply := reader.gets(...)) is not ...:
+            if (reply := reader.next_reply(...)) is not ...:
                 came.append(reply)
         assert came == replies and not reader.has_data()
 
@@ -273,19 +273,19 @@
 def test_resets_after_idling_lower_the_idle_limit() -> None:
     limit = IdleLimit(15 * S)
     for n in range(40):
-        limit.note(10_000, was_reset=n % 10 == 0)  # some are reset whatever they did before
-        limit.note(150_000, was_reset=n % 10 < 4)
-    assert limit.us == 131_072
+        limit.record_use(10_000, was_reset=n % 10 == 0)  # some are reset whatever they did before
+        limit.record_use(150_000, was_reset=n % 10 < 4)
+    assert limit.limit_us == 131_072
     for _ in range(4):
-        limit.age()
-    assert limit.us == 15 * S  # tried again after a while
+        limit.halve_counts()
+    assert limit.limit_us == 15 * S  # tried again after a while
 
 
 async def test_connection_idle_beyond_limit_is_not_reused(rest: Callable[[], None]) -> None:
     backend = Backend()
     sender = Sender(await backend.start())
     for limit_us, opened in ((15 * S, 1), (15 * S, 1), (-1, 2)):
-        sender.backends.idle_limit.us = limit_us
+        sender.backends.idle_limit.limit_us = limit_us
         rest()
         sender.send()
         assert await sender.result() is AttemptResult.OK
--- a/tests/proxy/test_cpu_accounting.py
+++ b/tests/proxy/test_cpu_accounting.py
@@ -34,10 +34,10 @@
     clock.now += 20
     found.leave(outer)
     clock.now += 500  # the loop's own
-    spent = {place: found.estimated_s(place) * 1e9 for place in CostCategory}
+    spent = {place: found.estimated_cpu_s(place) * 1e9 for place in CostCategory}
     assert spent.pop(CostCategory.BACKENDS) == pytest.approx(30)
     assert spent.pop(CostCategory.CLIENTS) == pytest.approx(3)
-    assert not any(spent.values()) and found.total_s() * 1e9 == pytest.approx(533)
+    assert not any(spent.values()) and found.process_cpu_s() * 1e9 == pytest.approx(533)
 
 
 def test_sampled_entries_stand_for_all() -> None:
@@ -64,7 +64,7 @@
         (CostCategory.DECISION_CORE, 500),
         (CostCategory.BACKENDS, 100),
     ):
-        assert found.estimated_s(place) * 1e9 == pytest.approx(2 * rounds * cost, rel=0.05)
+        assert found.estimated_cpu_s(place) * 1e9 == pytest.approx(2 * rounds * cost, rel=0.05)
     assert read == pytest.approx(8 * rounds / SAMPLING_INTERVAL, rel=0.05)
 
 
@@ -78,9 +78,9 @@
 
     with pytest.raises(ValueError):
         found.run(CostCategory.LOG, fails)
-    assert found.category is CostCategory.LOOP and found.estimated_s(CostCategory.LOG) * 1e9 == pytest.approx(
-        7
-    )
+    assert found.category is CostCategory.LOOP and found.estimated_cpu_s(
+        CostCategory.LOG
+    ) * 1e9 == pytest.approx(7)
 
 
 def test_steps_of_a_task_are_charged_and_cancellable() -> None:
@@ -99,7 +99,7 @@
             raise
 
     async def job() -> None:
-        task = asyncio.get_running_loop().create_task(found.steps(CostCategory.DISCOVERY, works()))
+        task = asyncio.get_running_loop().create_task(found.wrap_coroutine(CostCategory.DISCOVERY, works()))
         for _ in range(4):
             clock.now += 100  # what the loop does in between is not its
             await asyncio.sleep(0)
@@ -109,7 +109,7 @@
 
     run(job())
     assert seen == ["cancelled"] and found.category is CostCategory.LOOP
-    assert found.estimated_s(CostCategory.DISCOVERY) * 1e9 == pytest.approx(18)
+    assert found.estimated_cpu_s(CostCategory.DISCOVERY) * 1e9 == pytest.approx(18)
 
 
 def test_idle_intervals_are_added_up_apart() -> None:
--- a/tests/proxy/test_graceful_drain.py
+++ b/tests/proxy/test_graceful_drain.py
@@ -12,7 +12,7 @@
 from orchidhatch.proxy import (
     process_lifecycle,
 )
-from orchidhatch.proxy.loop_watch import TURNS, LoopWatch
+from orchidhatch.proxy.loop_watch import TURNS_AFTER_GAP, LoopWatch
 from orchidhatch.proxy.process_lifecycle import ProcessLifecycle
 from tests.proxy.gateway_scripts import (
     start_drain,
@@ -198,7 +198,7 @@
         return clock[0]
 
     watch = LoopWatch(clock_us)
-    for _ in range(2 * TURNS):
+    for _ in range(2 * TURNS_AFTER_GAP):
         watch.touch()
         await asyncio.sleep(0)
     assert not watch.is_suspicious
--- a/tests/proxy/test_guards.py
+++ b/tests/proxy/test_guards.py
@@ -15,7 +15,7 @@
 from orchidhatch.proxy import backend_pool
 from orchidhatch.proxy.attempt import Attempt
 from orchidhatch.proxy.guards import Refusal
-from orchidhatch.proxy.loop_watch import GAP_US, TURNS, LoopWatch
+from orchidhatch.proxy.loop_watch import GAP_US, TURNS_AFTER_GAP, LoopWatch
 from orchidhatch.proxy.request_exchange import RequestExchange
 from orchidhatch.proxy.server import GatewayServer
 from tests.proxy.test_long_values import HEAD as LONG_HEAD
@@ -242,7 +242,7 @@
     async with front_door(backend) as (gateway, _):
         results: list[AttemptResult] = []
         pool = gateway.backends.pools["s0"]
-        gateway.backends.update({"s0": EndpointState.DRAINING}, {}, whole=False)
+        gateway.backends.update({"s0": EndpointState.DRAINING}, {}, is_full=False)
         pool.start(attempt_of(gateway, results))
         await until(lambda: results)
         assert results == [AttemptResult.LOCAL_FAILURE] and backend.commands == []
@@ -299,7 +299,7 @@
     watch = LoopWatch(lambda: now[0])
     watch.touch()  # the first of all
     assert watch.is_suspicious
-    for _ in range(TURNS + 1):
+    for _ in range(TURNS_AFTER_GAP + 1):
         await asyncio.sleep(0)
     assert not watch.is_suspicious
     now[0] += GAP_US - 1
@@ -316,11 +316,11 @@
     now = [1_000_000]
     watch = LoopWatch(lambda: now[0])
     now[0] += 2 * GAP_US
-    for _ in range(3 * TURNS):
+    for _ in range(3 * TURNS_AFTER_GAP):
         assert watch.accepted_since_us() == 1_000_000
         now[0] += 1000
         await asyncio.sleep(0)
-    for _ in range(TURNS + 1):
+    for _ in range(TURNS_AFTER_GAP + 1):
         await asyncio.sleep(0)
     assert watch.accepted_since_us() == 0
 
--- a/tests/proxy/test_handover.py
+++ b/tests/proxy/test_handover.py
@@ -181,7 +181,7 @@
             assert old.management_handlers.begin_maintenance("s0")[0] == 200
             new = await start(config, started)
             assert new.operator_drain.is_serving() and not old.operator_drain.is_serving()
-            assert len(new.core.handover_peer.in_flight) == 1 and "s0" in new.backends.banned
+            assert len(new.core.handover_peer.in_flight) == 1 and "s0" in new.backends.ejected
             assert new.management_handlers.end_maintenance("s0")[0] == 200
             assert await idle.ended()
             client = await Client.open(config.listen)
--- a/tests/proxy/test_wait_queues.py
+++ b/tests/proxy/test_wait_queues.py
@@ -82,7 +82,7 @@
 async def test_attempt_over_the_connection_limit_is_rejected() -> None:
     backend = Backend(lambda arguments: None)
     async with front_door(backend) as (gateway, address):
-        gateway.backends.most = 1
+        gateway.backends.max_connections = 1
         client, other = await Client.open(address), await Client.open(address)
         client.send(query("a1"))
         await backend.came.wait()
@@ -162,7 +162,7 @@
                 peer.sendto(data, at)
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
                 stranger.sendto(b"hello", at)
-            await until(lambda: gateway.peers.malformed >= 2 and gateway.peers.strange == 1)
+            await until(lambda: gateway.peers.malformed >= 2 and gateway.peers.from_unknown_senders == 1)
             found = samples((await call(gateway, "GET /metrics"))[1])
             assert found['proxy_datagrams_dropped_total{why="stranger"}'] == 1
 
