--- a/orchidhatch/control/ownership/claims_table.py
+++ b/orchidhatch/control/ownership/claims_table.py
@@ -1,4 +1,4 @@
-"""The durable state of sessions, claims, records and registered gateways, as readers see it."""
+"""The durable sessions, claims, records and registered gateways, as readers see them."""
 
 from orchidhatch.control.ownership.objects import (
     Claim,
@@ -10,12 +10,12 @@
     decode_object,
 )
 
-# What a transaction changes: the objects by kind and name, None for those that it removes.
+# The changes of a transaction: objects by kind and name, with None for those that it removes.
 ObjectChanges = dict[tuple[ObjectKind, str], OwnedObject | None]
 
 
 class ClaimsTable:
-    """What is durable; `last_change` counts the changes."""
+    """All durable objects; `last_change` is the number of the last change to them."""
 
     def __init__(self) -> None:
         self.sessions: dict[str, Session] = {}
@@ -25,7 +25,7 @@
         self.last_change = 0
 
     def objects(self, kind: ObjectKind) -> dict[str, OwnedObject]:
-        """All objects of a kind, by name."""
+        """Return all objects of a kind by name."""
         return {
             ObjectKind.SESSION: self.sessions,
             ObjectKind.CLAIM: self.claims,
@@ -34,14 +34,14 @@
         }[kind]
 
     def load(self, kind: str, name: str, text: str) -> None:
-        """Add an object as it is stored. Raises ValueError where it is none."""
+        """Add an object from its stored text. Raises ValueError if the text is not an object of that kind."""
         object_kind = ObjectKind(kind)
         self.objects(object_kind)[name] = decode_object(object_kind, name, text)
 
     def apply(self, changes: ObjectChanges, last_change: int) -> None:
-        """Apply the changes of a transaction that is durable.
+        """Apply the changes of a durable transaction.
 
-        A replica has two writers, so the count may be above the transaction's already.
+        A replica has two writers, so `last_change` may already be above the transaction's number.
         """
         self.last_change = max(self.last_change, last_change)
         for (kind, name), owned in changes.items():
--- a/orchidhatch/control/ownership/objects.py
+++ b/orchidhatch/control/ownership/objects.py
@@ -1,6 +1,6 @@
-"""What the claims table holds: sessions, claims, records and registered gateways.
+"""The objects of the claims table: sessions, claims, records and registered gateways.
 
-Their field names on the wire and on disk are older than the attributes' names; `rename` keeps them.
+The wire and the disk use older field names than the attributes have; `rename` maps them.
 """
 
 import json
@@ -10,7 +10,7 @@
 
 
 class ObjectKind(StrEnum):
-    """The kinds of objects, by the names that they are stored under."""
+    """The kinds of objects; the values are the names that are stored."""
 
     SESSION = "session"
     CLAIM = "claim"
@@ -19,7 +19,7 @@
 
 
 class Session(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename={"incarnation": "life"}):
-    """A process that may hold claims: `id` names the holder, `incarnation` this start of it."""
+    """A process that may hold claims: `id` is the holder's name, `incarnation` identifies one run of it."""
 
     id: str
     incarnation: str
@@ -42,12 +42,13 @@
 ):
     """A claim with its fencing token.
 
-    - `holder` is "" where nobody holds it; `epoch` is that of its last taking.
-    - `handed_to` may take it next, while that holder has a session.
-    - `released_by` released it over failures, and may not take it next unless it is alone.
-    - `reason` says why it was released or suspended.
-    - `suspended`: nobody may take it until an operator resumes it.
-    - `lost_holders` counts the holders in a row whose sessions expired.
+    - `holder` is "" if the claim is not held; `epoch` is the one at which it was last taken.
+    - `handed_to`: the only holder that may take the claim next, as long as it has a session.
+    - `released_by`: the holder that released the claim after failures; it may not take it next unless no
+      other holder has a session.
+    - `reason`: why the claim was released or suspended.
+    - `suspended`: the claim cannot be taken until an operator resumes it.
+    - `lost_holders`: the number of consecutive holders whose sessions expired.
     """
 
     name: str
@@ -63,7 +64,7 @@
 
 
 class Record(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A text that an owner writes between two steps; `version` is the count of its last writing."""
+    """A named text in which an owner stores its progress; `version` is the number of its last change."""
 
     name: str
     text: str
@@ -71,7 +72,7 @@
 
 
 class Gateway(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename={"incarnation": "life"}):
-    """A gateway that policies hold for; `incarnation` is that of the agent that steers it."""
+    """A gateway to which policies apply; `incarnation` is that of the agent that manages it."""
 
     name: str
     incarnation: str
@@ -79,7 +80,7 @@
 
 
 class Fence(msgspec.Struct, frozen=True):
-    """The claim and epoch that a write is made under: it is carried out only while they are current."""
+    """The fencing token of a write, which is carried out only while the claim is held at that epoch."""
 
     claim: str
     epoch: int
@@ -96,18 +97,21 @@
 
 
 def name_of(owned: OwnedObject) -> str:
-    """The name that an object is stored under."""
+    """Return the name under which an object is stored."""
     return owned.id if isinstance(owned, Session) else owned.name
 
 
 def encode_object(owned: OwnedObject) -> str:
-    """The stored form. Checksums are over this text."""
+    """Return the stored form of an object, over which the store computes its checksums."""
     return json.dumps(msgspec.to_builtins(owned), sort_keys=True)
 
 
 def decode_object(kind: ObjectKind, name: str, text: str) -> OwnedObject:
-    """An object in its stored form. Raises ValueError where it is none, or is another one."""
+    """Return the object in a stored text.
+
+    Raises ValueError if the text is not an object of that kind, or if the object has another name.
+    """
     owned = msgspec.convert(json.loads(text), TYPE_OF_KIND[kind])
     if name_of(owned) != name:
-        raise ValueError(f"{kind} {name!r:.80} is stored under the name of {name_of(owned)!r:.80}")
+        raise ValueError(f"{kind} {name!r:.80} contains an object named {name_of(owned)!r:.80}")
     return owned
--- a/orchidhatch/control/ownership/ownership_handlers.py
+++ b/orchidhatch/control/ownership/ownership_handlers.py
@@ -1,4 +1,4 @@
-"""The requests about sessions, claims and records."""
+"""HTTP request handlers for sessions, claims and records."""
 
 from typing import Protocol
 
@@ -21,21 +21,21 @@
 
 
 class WriteQueue(Protocol):
-    """The write pipeline, as these handlers use it."""
+    """The part of the write pipeline that these handlers use."""
 
     def enqueue(self, write: ClaimsWrite, connection: Connection | None) -> None:
-        """Queue a write; the connection is answered with its outcome."""
+        """Queue a write whose outcome is sent to the connection."""
 
 
 class RenewalAccess(Protocol):
-    """Whether leases may be renewed."""
+    """The part of the write access control that these handlers use."""
 
     def check_may_renew(self) -> None:
-        """Raise ConflictError or UnavailableError where they may not."""
+        """Raise ConflictError or UnavailableError if leases may not be renewed."""
 
 
 class OwnershipHandlers:
-    """The handlers of one registry."""
+    """The request handlers of one registry."""
 
     def __init__(
         self, table: ClaimsTable, service: OwnershipService, writes: WriteQueue, access: RenewalAccess
@@ -46,7 +46,7 @@
         self._access = access
 
     def add_routes(self, router: Router) -> None:
-        """Add all routes of this module."""
+        """Add the routes of this module to a router."""
         router.add("POST", "/sessions", self._open_session)
         router.add("POST", "/sessions/{}/renew", self._renew_session)
         router.add("DELETE", "/sessions/{}", self._end_session)
@@ -98,7 +98,7 @@
     def _get_record(self, request: Request, name: str) -> Response:
         record = self._table.records.get(name)
         if record is None:
-            raise NotFoundError("no such record")
+            raise NotFoundError("there is no record of that name")
         return Response(200, record)
 
     def _put_record(self, request: Request, name: str) -> None:
--- a/orchidhatch/control/ownership/service.py
+++ b/orchidhatch/control/ownership/service.py
@@ -1,7 +1,8 @@
-"""Sessions and claims of one registry: their leases, the requests that wait for changes, and metrics.
+"""Sessions and claims of one registry: session leases, requests that wait for changes, and metrics.
 
-Sessions' leases are kept by the monotonic clock and begin anew with the process. Where most sessions would
-run out together, rather the network or this registry failed: their end is withheld for a while.
+Session leases are measured by the monotonic clock and restart with the process. If most sessions would expire
+at about the same time, a failure of the network or of this registry is the likely cause, so their expiry is
+withheld for a limited time.
 """
 
 import logging
@@ -20,19 +21,20 @@
 
 log = logging.getLogger("orchidhatch.ownership")
 
-WITHHELD_S = 10.0  # for how long more sessions are kept that run out together: about one more lease
-SESSION_LIMIT = MassExpiryLimit(share=0.5, few=2, withheld_s=WITHHELD_S)
+# How long a mass expiry of sessions is withheld: about one more lease.
+MAX_WITHHELD_S = 10.0
+SESSION_EXPIRY_LIMIT = MassExpiryLimit(share=0.5, few=2, withheld_s=MAX_WITHHELD_S)
 
 
 class InternalWriter(Protocol):
-    """The write pipeline, as this service uses it."""
+    """The part of the write pipeline that this service uses."""
 
     def enqueue_internal(self, write: ClaimsWrite) -> bool:
-        """Queue a write of the registry itself; whether it is queued."""
+        """Queue a write of the registry itself, and return whether it was queued."""
 
 
 class OwnershipService:
-    """Sessions and claims of one registry."""
+    """The sessions and claims of one registry."""
 
     def __init__(self, store: Store, writes: InternalWriter, now_s: Callable[[], float]) -> None:
         self.claims_taken = 0
@@ -42,45 +44,51 @@
         self._table = store.claims_table
         self._writes = writes
         self._now_s = now_s
-        self._waiting: set[Connection] = set()  # answered after the next change, or the next check
+        self._waiting_connections: set[Connection] = set()  # answered after the next change or check
         self.restart()
 
     def restart(self) -> None:
-        """Begin all leases anew: nobody could renew them here before."""
-        self.leases = LeaseTable(self._table.sessions.values(), self._now_s(), SESSION_LIMIT)
+        """Restart all leases, because no holder could renew its lease here before."""
+        self.leases = LeaseTable(self._table.sessions.values(), self._now_s(), SESSION_EXPIRY_LIMIT)
 
     # --- reads ---
 
     def version(self) -> str:
-        """The version of sessions and claims; a promoted or rebuilt store begins another count."""
+        """Return the version of the sessions and claims.
+
+        It includes the store's identity and term, as a promoted or rebuilt store starts another change count.
+        """
         return f"{self._store.identity}-{self._store.term}-{self._table.last_change}"
 
     def snapshot(self) -> OwnershipResponse:
-        """All sessions and claims."""
+        """Return all sessions and claims."""
         sessions = [session_response(session) for session in self._table.sessions.values()]
         return OwnershipResponse(self.version(), sessions, list(self._table.claims.values()))
 
     def answer_after(self, connection: Connection, known_version: str) -> None:
-        """Answer with a snapshot once it is newer than the known version, or unchanged at the next check."""
+        """Send a snapshot once the version differs from the known one, or at the next check."""
         if known_version != self.version():
             connection.answer(Response(200, self.snapshot()))
         else:
-            self._waiting.add(connection)
+            self._waiting_connections.add(connection)
 
     def _answer_waiting(self) -> None:
-        waiting = self._waiting
-        self._waiting = set()
-        response = Response(200, self.snapshot()) if waiting else None
-        for connection in waiting:
+        connections = self._waiting_connections
+        self._waiting_connections = set()
+        response = Response(200, self.snapshot()) if connections else None
+        for connection in connections:
             connection.answer(response)
 
     # --- leases ---
 
     def renew(self, holder: str, incarnation: str) -> SessionRenewalResponse:
-        """Renew a session's lease. Raises NotFoundError, or ConflictError for another incarnation."""
+        """Renew a session's lease and return the epochs of its claims.
+
+        Raises NotFoundError if there is no such session, ConflictError if it has another incarnation.
+        """
         if not self.leases.renew(holder, incarnation, self._now_s()):
             if holder in self._table.sessions:
-                raise ConflictError(f"{holder} is in {OTHER_INCARNATION_SIGN} since")
+                raise ConflictError(f"the session {holder} now belongs to {OTHER_INCARNATION_SIGN}")
             raise NotFoundError(f"{holder} has no session")
         epochs = {
             claim.name: claim.epoch
@@ -90,17 +98,16 @@
         return SessionRenewalResponse(self.version(), epochs)
 
     def check(self) -> None:
-        """End the sessions whose leases have run out, and answer whoever waits."""
+        """End the sessions whose leases have expired, and answer all waiting requests."""
         withheld_before = self.leases.withheld
         for session in self.leases.take_overdue(self._now_s()):
             self._expire(session)
         if self.leases.withheld and not withheld_before:
             log.error(
-                "ALARM: sessions would run out together, their end is withheld: "
-                "overdue=%d sessions=%d withheld_s=%g",
+                "ALARM: mass expiry of sessions withheld: overdue=%d sessions=%d withheld_s=%g",
                 self.leases.withheld,
                 len(self.leases.leases),
-                WITHHELD_S,
+                MAX_WITHHELD_S,
             )
         self._answer_waiting()
 
@@ -110,30 +117,30 @@
         self.leases.forget(session.id)
         self._writes.enqueue_internal(EndSession(session.id, session.incarnation, expired=True))
 
-    # --- what was written ---
+    # --- completed writes ---
 
     def batch_written(self, writes: Sequence[object], outcomes: Sequence[Outcome]) -> None:
-        """Begin and end leases by what is durable, and answer whoever waits for a change."""
+        """Update leases after a durable batch, and answer waiting requests if sessions or claims changed."""
         for outcome in outcomes:
             if isinstance(outcome, Session):
-                self._follow_session(outcome)
+                self._session_written(outcome)
             elif isinstance(outcome, Claim):
-                self._follow_claim(outcome)
+                self._claim_written(outcome)
             elif isinstance(outcome, ConflictError):
                 self.writes_refused += 1
         if any(isinstance(outcome, Session | Claim) for outcome in outcomes):
             self._answer_waiting()
 
     def batch_failed(self, writes: Sequence[object]) -> None:
-        """Nothing was changed, and so no lease is."""
+        """Do nothing: a failed batch changed no session and so no lease."""
 
-    def _follow_session(self, session: Session) -> None:
+    def _session_written(self, session: Session) -> None:
         if self._table.sessions.get(session.id) == session:
             self.leases.begin(session, self._now_s())
         else:
             self.leases.forget(session.id)
 
-    def _follow_claim(self, claim: Claim) -> None:
+    def _claim_written(self, claim: Claim) -> None:
         self.claims_taken += bool(claim.holder)
         if claim.suspended:
             log.error("ALARM: claim suspended: claim=%s reason=%s", claim.name, claim.reason)
@@ -141,7 +148,7 @@
     # --- metrics ---
 
     def metrics(self) -> dict[str, float]:
-        """Metrics by name, without the registry's prefix."""
+        """Return the metrics by name, without the registry's prefix."""
         claims = self._table.claims.values()
         return {
             "sessions": len(self._table.sessions),
--- a/orchidhatch/control/ownership/writes.py
+++ b/orchidhatch/control/ownership/writes.py
@@ -1,4 +1,4 @@
-"""The writes to the claims table, as typed messages."""
+"""Typed messages for the writes to the claims table."""
 
 import msgspec
 
@@ -6,13 +6,13 @@
 
 
 class OpenSession(msgspec.Struct, frozen=True):
-    """Begin a session; the same one again is no change."""
+    """Open a session; opening the same session again changes nothing."""
 
     session: Session
 
 
 class EndSession(msgspec.Struct, frozen=True):
-    """End a session and free its claims; `expired` if its lease ran out."""
+    """End a session and release its claims; `expired` means that its lease expired."""
 
     id: str
     incarnation: str
@@ -20,7 +20,7 @@
 
 
 class TakeClaim(msgspec.Struct, frozen=True):
-    """Take a claim for a session; `purpose` tells operators what for."""
+    """Take a claim for a session; `purpose` is shown to operators."""
 
     name: str
     holder: str
@@ -29,7 +29,7 @@
 
 
 class ReleaseClaim(msgspec.Struct, frozen=True):
-    """Release a claim, handing it to a named holder, or because of failures that `reason` tells."""
+    """Release a claim, either to hand it to a specific holder or after failures, which `reason` describes."""
 
     name: str
     holder: str
@@ -40,14 +40,17 @@
 
 
 class SuspendClaim(msgspec.Struct, frozen=True):
-    """Suspend a claim by hand, so that nobody acts under it, or let it be taken again."""
+    """Suspend a claim for an operator, so that no write is accepted under it, or resume it."""
 
     name: str
     suspended: bool
 
 
 class PutRecord(msgspec.Struct, frozen=True):
-    """Write a record; an empty text removes it. `if_version` 0: only if it does not exist."""
+    """Write a record, or remove it if the text is empty.
+
+    The write is rejected if the record is not at `if_version`; 0 means that it must not exist.
+    """
 
     name: str
     text: str
@@ -56,13 +59,13 @@
 
 
 class RegisterGateway(msgspec.Struct, frozen=True):
-    """List a gateway, or its agent's next incarnation; the same one again is no change."""
+    """Register a gateway or a new incarnation of its agent; repeating it changes nothing."""
 
     gateway: Gateway
 
 
 class RemoveGateway(msgspec.Struct, frozen=True):
-    """Take a gateway off the list."""
+    """Remove a registered gateway."""
 
     name: str
 
