--- a/orchidhatch/control/controller/drain.py
+++ b/orchidhatch/control/controller/drain.py
@@ -1,29 +1,29 @@
-"""The task that drains an endpoint: marked in the list, withdrawn at all gateways, then removed or restored.
+"""The task that drains an endpoint: it is marked in the endpoint list, withdrawn, and removed or restored.
 
-Gateways are notified through their agents as well as by the endpoint list, so that they stop sending to
-it at once.
+Gateways are notified through their agents in addition to the endpoint list, so that they stop sending
+requests to the endpoint at once.
 """
 
 import time
 
-from orchidhatch.control.controller.countdown import count_down, start_count
+from orchidhatch.control.controller.countdown import count_down, start_countdown
 from orchidhatch.control.controller.errors import StepPostponedError, TaskFailedError
 from orchidhatch.control.controller.task import GatewayCommand, Task, TaskContext
 from orchidhatch.control.controller.task_records import DrainEnd, DrainRecord, DrainState
 
 SAVE_INTERVAL_S = 2.0
-# Lifecycles of the endpoint list.
+# Values of an endpoint's lifecycle in the endpoint list.
 DRAINING = "DRAINING"
 SERVING = "SERVING"
 
 
 class Drain(Task[DrainRecord]):
-    """A drain of one endpoint. An endpoint that somebody else removes ends it."""
+    """The drain of one endpoint. It ends early if the endpoint is removed by other means."""
 
     record_type = DrainRecord
 
     async def step(self, context: TaskContext) -> None:
-        """Carry out the action that the stored state calls for."""
+        """Carry out the action for the stored state."""
         match self.record.state:
             case DrainState.REQUESTED:
                 await self._set_lifecycle(context, DRAINING, DrainState.MARKED, done=False)
@@ -39,18 +39,21 @@
     ) -> None:
         instance_id = self.record.instance_id
         reply = await context.set_lifecycle(instance_id, lifecycle)
-        if reply.not_found:
+        if reply.is_not_found:
             await self.move_to(context, DrainState.UNLISTED, done=True)
             return
         if not reply.ok:
-            raise TaskFailedError(f"cannot mark {instance_id}: {reply.body}")
+            raise TaskFailedError(f"cannot change the lifecycle of {instance_id}: {reply.body}")
         await self.move_to(context, next_state, done=done)
 
     async def _withdraw(self, context: TaskContext) -> None:
-        """Gateways that cannot be reached do not hold the drain up: they learn of it by the endpoint list."""
-        missing = await context.command_gateways(self, self.record.instance_id, GatewayCommand.WITHDRAW)
-        start_count(self.record, time.monotonic())
-        message = f"not notified: {', '.join(missing)}" if missing else ""
+        """Withdraw the endpoint at all gateways.
+
+        Gateways that cannot be reached do not delay the drain, as the endpoint list also shows it to them.
+        """
+        failed_agents = await context.command_gateways(self, self.record.instance_id, GatewayCommand.WITHDRAW)
+        start_countdown(self.record, time.monotonic())
+        message = f"not notified: {', '.join(failed_agents)}" if failed_agents else ""
         await self.move_to(context, DrainState.WITHDRAWN, message=message)
 
     async def _wait(self, context: TaskContext) -> None:
@@ -70,13 +73,16 @@
     async def _remove(self, context: TaskContext) -> None:
         instance_id = self.record.instance_id
         reply = await context.remove_endpoint(instance_id)
-        if not (reply.ok or reply.not_found):
+        if not (reply.ok or reply.is_not_found):
             raise TaskFailedError(f"cannot remove {instance_id}: {reply.body}")
         await self.move_to(context, DrainState.REMOVED, done=True)
 
     async def _restore(self, context: TaskContext) -> None:
-        """All gateways first: one that missed it would never send to the endpoint again."""
-        missing = await context.command_gateways(self, self.record.instance_id, GatewayCommand.RESTORE)
-        if missing:
-            raise StepPostponedError(f"not yet restored at {', '.join(missing)}")
+        """Restore the endpoint at all gateways, and only then in the endpoint list.
+
+        A gateway that missed the command would never send to the endpoint again.
+        """
+        failed_agents = await context.command_gateways(self, self.record.instance_id, GatewayCommand.RESTORE)
+        if failed_agents:
+            raise StepPostponedError(f"not yet restored at {', '.join(failed_agents)}")
         await self._set_lifecycle(context, SERVING, DrainState.RESTORED, done=True)
--- a/orchidhatch/control/controller/errors.py
+++ b/orchidhatch/control/controller/errors.py
@@ -1,33 +1,33 @@
-"""Errors of the fleet controller, by what follows from them."""
+"""Errors of the fleet controller, classified by how they are handled."""
 
 
 class ControllerError(Exception):
-    """Base of all errors below."""
+    """Base class of the errors below."""
 
 
 class SessionLostError(ControllerError):
-    """The registry does not know this process's session any more; everything held under it is given up."""
+    """The registry no longer has this process's session; all claims held under it are dropped."""
 
 
 class FencedError(ControllerError):
-    """The claim belongs to another controller by now, so the action was rejected and the shard is dropped."""
+    """The action was rejected because another controller now holds the claim; the shard is dropped."""
 
 
 class RetryLaterError(ControllerError):
-    """A step could not be carried out now; it is repeated from the stored state and is no failed task."""
+    """A step cannot be carried out now; it is retried from the stored state and not counted as a failure."""
 
 
 class StepPostponedError(RetryLaterError):
-    """Nobody who can answer was reached, or this process may not act under its claim at the moment."""
+    """The step got no reply that it needs, or this process may currently not act under its claim."""
 
 
 class StaleRecordError(RetryLaterError):
-    """A record changed between its reading and its writing."""
+    """A record changed between the read and the write."""
 
 
 class InvalidTaskError(ControllerError):
-    """A record that cannot be read as a task; no step is made and no failure is counted."""
+    """A record cannot be decoded as a task; no step is carried out and no failure is counted."""
 
 
 class TaskFailedError(ControllerError):
-    """The registry rejected an action of a task; counted as a failure of the task's shard."""
+    """The registry rejected an action of a task; this counts as a failure in the task's shard."""
--- a/orchidhatch/control/controller/gateway_fleet_client.py
+++ b/orchidhatch/control/controller/gateway_fleet_client.py
@@ -1,4 +1,4 @@
-"""Calls to gateways, each through the agent on its machine, which rejects those that come too late."""
+"""Calls to gateways through the agents on their machines, which reject outdated calls."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -11,12 +11,12 @@
 from orchidhatch.control.error_signs import CLAIM_SIGN
 from orchidhatch.control.http_client import Address, call, format_address
 
-# For an agent to answer, which asks its gateway in turn.
+# Includes the time that the agent needs to call its gateway.
 AGENT_TIMEOUT_S = 1.0
 
 
 class FencedCallRequest(Struct):
-    """On whose behalf a gateway is called. Agents reject a call whose number is below one they have seen."""
+    """The fencing token of a gateway call; agents reject a number lower than one that they have received."""
 
     claim: str
     epoch: int
@@ -24,7 +24,7 @@
 
 
 class GatewayFleetClient:
-    """The gateways behind these agents."""
+    """Client of the gateways that these agents manage."""
 
     def __init__(self, agents: Sequence[Address]) -> None:
         self._agents = agents
@@ -32,15 +32,15 @@
     async def command(
         self, path: str, fenced_call: FencedCallRequest, before_call: Callable[[], None]
     ) -> list[str]:
-        """Make a management call at each gateway; the agents whose gateways did not carry it out.
+        """Make a management call at each gateway, and return the agents whose gateways did not carry it out.
 
-        `before_call` may raise to keep a call from being made. Raises FencedError where an agent knows that
-        the claim belongs to another controller.
+        `before_call` may raise an error to prevent a call. Raises FencedError if an agent reports that
+        another controller holds the claim.
         """
         body = msgspec.to_builtins(fenced_call)
 
         async def command_through(agent: Address) -> bool:
-            """Whether the gateway of this agent carried it out."""
+            """Make the call through an agent, and return whether its gateway carried it out."""
             before_call()
             result = await call(agent, "POST", f"/door/{path}", body, AGENT_TIMEOUT_S)
             if result.status == HTTPStatus.CONFLICT and CLAIM_SIGN in str(result.value):
@@ -48,13 +48,15 @@
             return result.ok
 
         results = await asyncio.gather(*map(command_through, self._agents))
-        missing = [agent for agent, is_done in zip(self._agents, results, strict=True) if not is_done]
-        return list(map(format_address, missing))
+        failed_agents = [
+            agent for agent, succeeded in zip(self._agents, results, strict=True) if not succeeded
+        ]
+        return list(map(format_address, failed_agents))
 
     async def query(self, path: str) -> dict[str, str]:
-        """Each gateway's answer by its agent's address; empty where it gives none."""
-        answers = await asyncio.gather(*(self._query_through(agent, path) for agent in self._agents))
-        return {format_address(agent): answer for agent, answer in zip(self._agents, answers, strict=True)}
+        """Return each gateway's reply by its agent's address; empty for a gateway that does not reply."""
+        replies = await asyncio.gather(*(self._query_through(agent, path) for agent in self._agents))
+        return {format_address(agent): reply for agent, reply in zip(self._agents, replies, strict=True)}
 
     async def _query_through(self, agent: Address, path: str) -> str:
         result = await call(agent, "GET", f"/door/{path}", timeout_s=AGENT_TIMEOUT_S)
--- a/orchidhatch/control/controller/recurring.py
+++ b/orchidhatch/control/controller/recurring.py
@@ -1,4 +1,4 @@
-"""The tasks that are never done: backups of the registry's store, lease expiry, and fleet summaries."""
+"""Tasks that recur without end: backups of the registry's store, lease expiry and fleet summaries."""
 
 from orchidhatch.control.controller.countdown import count_down
 from orchidhatch.control.controller.errors import TaskFailedError
@@ -10,10 +10,10 @@
 
 
 class Backup(Task[BackupRecord]):
-    """Backs the registry's store up, again and again.
+    """Backs up the registry's store at an interval.
 
-    A second backup does no harm, so no state is stored before one is made. One that fails is named in the
-    message and repeated after the interval.
+    A repeated backup is harmless, so no state is stored before one is made. A failure is noted in the
+    record's message, and the backup is retried after the interval.
     """
 
     record_type = BackupRecord
@@ -30,30 +30,32 @@
 
 
 class LeaseExpiry(Task[LeaseExpiryRecord]):
-    """Has the registry remove endpoints with overdue leases, at each step.
+    """Requests at each step that the registry removes endpoints with expired leases.
 
-    Nothing is stored: the registry knows which leases are overdue, and asking twice removes nothing twice.
+    No state is stored: the registry knows which leases have expired, and a repeated request removes nothing
+    twice.
     """
 
     record_type = LeaseExpiryRecord
 
     async def step(self, context: TaskContext) -> None:
-        """Ask the registry to remove what is overdue now."""
+        """Request the removal of the endpoints whose leases have expired."""
         reply = await context.expire_leases()
         if not reply.ok:
             raise TaskFailedError(f"cannot expire leases: {reply.body}")
 
 
 class Summary(Task[SummaryRecord]):
-    """Summarizes the metrics of all gateways, again and again.
+    """Summarizes the metrics of all gateways at an interval.
 
-    The samples that increases are counted from are kept in this process: a new owner begins without any.
+    The samples from which increases are computed are kept in this process, so a new owner starts without
+    them.
     """
 
     record_type = SummaryRecord
 
     async def step(self, context: TaskContext) -> None:
-        """Take samples and store their summary if one is due."""
+        """Collect samples and store their summary if one is due."""
         if not count_down(self.record, SAVE_INTERVAL_S):
             return
         if self.record.remaining_ms <= 0:
@@ -62,8 +64,8 @@
         await context.save(self)
 
     async def _summarize(self, context: TaskContext) -> None:
-        answers = await context.query_gateways(GatewayQuery.METRICS)
-        samples = {agent: parse_gateway_metrics(text) for agent, text in answers.items()}
+        replies = await context.query_gateways(GatewayQuery.METRICS)
+        samples = {agent: parse_gateway_metrics(text) for agent, text in replies.items()}
         previous = context.metrics_samples(self)
         self.record.fleet = summarize_fleet(previous, samples)
         previous.clear()
--- a/orchidhatch/control/controller/registry_api.py
+++ b/orchidhatch/control/controller/registry_api.py
@@ -1,4 +1,4 @@
-"""Typed calls to the registry about sessions, claims and records, as the fleet controller makes them."""
+"""The fleet controller's typed calls to the registry about sessions, claims and records."""
 
 from collections.abc import Mapping
 from http import HTTPStatus
@@ -11,51 +11,51 @@
 from orchidhatch.control.http_client import NoResponse
 from orchidhatch.control.registry_client import RegistryClient
 
-# The status of a reply where no registry gave one.
+# The status that stands for the lack of a reply.
 NO_REPLY = 0
 
 
 class RegistryReply(Struct, frozen=True):
-    """A registry's reply; the body is the decoded JSON value, or the reason why there is no reply."""
+    """A registry's reply. The body is the decoded JSON value, or the reason why there is no reply."""
 
     status: int
     body: Any
 
     @property
     def ok(self) -> bool:
-        """Whether the request was carried out."""
+        """Return whether the request was carried out."""
         return self.status == HTTPStatus.OK
 
     @property
-    def not_found(self) -> bool:
-        """Whether the request was about something that is not there."""
+    def is_not_found(self) -> bool:
+        """Return whether the object of the request does not exist."""
         return self.status == HTTPStatus.NOT_FOUND
 
     @property
-    def conflict(self) -> bool:
-        """Whether the request does not fit what is stored."""
+    def is_conflict(self) -> bool:
+        """Return whether the request conflicts with the stored state."""
         return self.status == HTTPStatus.CONFLICT
 
     @property
-    def unavailable(self) -> bool:
-        """Whether no registry that accepts writes replied."""
+    def is_unavailable(self) -> bool:
+        """Return whether no registry was able to serve the request."""
         return self.status in (NO_REPLY, HTTPStatus.SERVICE_UNAVAILABLE)
 
     @property
-    def fenced(self) -> bool:
-        """Whether the request was rejected because its claim belongs to another holder."""
-        return self.conflict and CLAIM_SIGN in str(self.body)
+    def is_fenced(self) -> bool:
+        """Return whether the request was rejected because its claim is not held at its epoch."""
+        return self.is_conflict and CLAIM_SIGN in str(self.body)
 
     @property
     def error_text(self) -> str:
-        """The error that the registry gives."""
+        """Return the error in the reply as text."""
         if isinstance(self.body, Mapping) and "error" in self.body:
             return str(self.body["error"])
         return str(self.body)
 
 
 class OpenSessionRequest(Struct):
-    """Opens a session, or opens the same one again."""
+    """The body of a request to open a session, or to open the same one again."""
 
     holder: str
     incarnation: str = field(name="life")
@@ -63,13 +63,13 @@
 
 
 class SessionRequest(Struct):
-    """Renews or ends a session."""
+    """The body of a request to renew or end a session."""
 
     incarnation: str = field(name="life")
 
 
 class TakeClaimRequest(Struct):
-    """Takes a claim that nobody holds."""
+    """The body of a request to take a claim that is not held."""
 
     holder: str
     incarnation: str = field(name="life")
@@ -77,7 +77,10 @@
 
 
 class ReleaseClaimRequest(Struct):
-    """Releases a claim; with a reason, the holder may not take it again before another one did."""
+    """The body of a request to release a claim.
+
+    If a reason is given, the holder may not take the claim again until another holder has taken it.
+    """
 
     holder: str
     incarnation: str = field(name="life")
@@ -86,27 +89,27 @@
 
 
 class FencedRequest(Struct, kw_only=True):
-    """A request on behalf of a claim, carried out only while the claim is at that epoch."""
+    """The body of a fenced request, which is carried out only while the claim is held at that epoch."""
 
     claim: str
     epoch: int
 
 
 class LifecycleRequest(FencedRequest, kw_only=True):
-    """Changes an endpoint's lifecycle."""
+    """The body of a request to change an endpoint's lifecycle."""
 
     lifecycle: str
 
 
 class PutRecordRequest(FencedRequest, kw_only=True):
-    """Writes a record; an empty text removes it."""
+    """The body of a request to write a record; an empty text removes it."""
 
     text: str
     if_version: int | UnsetType = field(name="ifVersion", default=UNSET)
 
 
 class StoredRecord(Struct, frozen=True):
-    """A record of the registry; the version counts its writes."""
+    """A record of the registry; each write raises its version."""
 
     name: str
     text: str
@@ -114,13 +117,13 @@
 
 
 class SessionStatus(Struct, frozen=True):
-    """A session as the registry shows it."""
+    """A session in a reply of the registry."""
 
     holder: str
 
 
 class ClaimStatus(Struct, frozen=True):
-    """A claim as the registry shows it; the holder is empty where nobody has it."""
+    """A claim in a reply of the registry; the holder is empty if the claim is not held."""
 
     name: str
     holder: str = ""
@@ -139,7 +142,7 @@
 
 
 class SessionRenewal(Struct, frozen=True):
-    """The reply to a renewal: the epoch of each claim that the session holds."""
+    """The reply to a renewal: the epochs, by name, of the claims that the session holds."""
 
     claims: dict[str, int]
 
@@ -151,13 +154,13 @@
 
 
 class RegistryApi:
-    """The registry that accepts writes, among those that a client knows."""
+    """Calls to the registry that accepts writes, which the client finds among those that it knows."""
 
     def __init__(self, client: RegistryClient) -> None:
         self.client = client
 
     async def request(self, method: str, path: str, body: Struct | None = None) -> RegistryReply:
-        """Any request; the reply has the status NO_REPLY where no registry answers."""
+        """Send a request and return the reply, whose status is NO_REPLY if no registry answers."""
         value = None if body is None else msgspec.to_builtins(body)
         result = await self.client.call(method, path, value)
         if isinstance(result, NoResponse):
@@ -165,11 +168,11 @@
         return RegistryReply(result.status, result.value)
 
     async def open_session(self, request: OpenSessionRequest) -> RegistryReply:
-        """Open a session; a conflict where another process holds one of this name."""
+        """Open a session; the reply is a conflict if another process has a session of that name."""
         return await self.request("POST", "/sessions", request)
 
     async def renew_session(self, holder: str, incarnation: str) -> RegistryReply:
-        """Renew a session; the body of an accepted renewal is a SessionRenewal."""
+        """Renew a session; the body of a successful reply is a SessionRenewal."""
         return await self.request("POST", f"/sessions/{holder}/renew", SessionRequest(incarnation))
 
     async def end_session(self, holder: str, incarnation: str) -> RegistryReply:
@@ -177,12 +180,12 @@
         return await self.request("DELETE", f"/sessions/{holder}", SessionRequest(incarnation))
 
     async def read_claims(self) -> ClaimsStatus | None:
-        """All sessions and claims; None where no registry shows them."""
+        """Return all sessions and claims; None if no registry returns them."""
         reply = await self.request("GET", "/claims")
         return msgspec.convert(reply.body, ClaimsStatus) if reply.ok else None
 
     async def take_claim(self, name: str, request: TakeClaimRequest) -> ClaimStatus | None:
-        """Take a claim; None where it was not given."""
+        """Take a claim and return it; None if the request failed."""
         reply = await self.request("POST", f"/claims/{name}/take", request)
         return msgspec.convert(reply.body, ClaimStatus) if reply.ok else None
 
@@ -191,6 +194,6 @@
         return await self.request("POST", f"/claims/{name}/give", request)
 
     async def read_records(self) -> list[StoredRecord] | None:
-        """All records; None where no registry shows them."""
+        """Return all records; None if no registry returns them."""
         reply = await self.request("GET", "/records")
         return msgspec.convert(reply.body, RecordsStatus).records if reply.ok else None
--- a/orchidhatch/control/controller/service.py
+++ b/orchidhatch/control/controller/service.py
@@ -1,9 +1,9 @@
-"""The fleet controller: carries out drains, backups, policy changes and more, each by one owner at a time.
+"""The fleet controller, which carries out tasks such as drains, backups and policy changes.
 
-Any number of controllers may run, on any machines. Tasks lie in shards, each owned by one controller through
-a claim at the registry. A task's state is stored before and after each action, on behalf of that claim, so
-that the next owner goes on from it; a controller that has lost its claim without knowing is rejected wherever
-it acts.
+Any number of controllers may run, on any machines. Tasks are distributed over shards, and each shard is owned
+by one controller through a claim at the registry. A task's state is stored before and after each action,
+fenced by that claim, so that the next owner can resume the task. The actions of a controller that has lost
+its claim without noticing are rejected.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 
 
 class Controller:
-    """One process: its session, the shards that it owns, and the steps of the tasks in them."""
+    """One controller process: its session, the shards that it owns, and the steps of their tasks."""
 
     def __init__(
         self,
@@ -35,30 +35,30 @@
     ) -> None:
         self.registry_client = RegistryClient(list(registries))
         registry = RegistryApi(self.registry_client)
-        self.owned = OwnedShards()
+        self.owned_shards = OwnedShards()
         self.session = Session(holder, registry, self, lease_ms, clock)
-        self.balancer = ShardBalancer(self.session, self.owned, registry)
+        self.balancer = ShardBalancer(self.session, self.owned_shards, registry)
         self.runner = TaskRunner(
-            self.session, self.owned, self.balancer, registry, GatewayFleetClient(agents)
+            self.session, self.owned_shards, self.balancer, registry, GatewayFleetClient(agents)
         )
 
     async def run(self) -> None:
-        """Hold a session and work until this is cancelled; an unexpected error of the session ends both."""
+        """Hold a session and carry out tasks until cancelled; an unexpected error in either ends both."""
         async with asyncio.TaskGroup() as group:
-            group.create_task(self.session.keep())
+            group.create_task(self.session.keep_open())
             group.create_task(self._work())
 
     async def leave(self) -> None:
-        """Release everything, so that nobody has to wait for the lease to expire."""
+        """End the session, so that other controllers need not wait for its lease to expire."""
         await self.session.end()
 
     def session_renewed(self, claim_epochs: Mapping[str, int]) -> None:
-        """The registry has these claims in the session's name, each at that epoch."""
-        self.owned.session_renewed(claim_epochs)
+        """Adopt the claims, with their epochs, that the registry has for the session."""
+        self.owned_shards.session_renewed(claim_epochs)
 
     def session_lost(self) -> None:
-        """Nothing is held any more."""
-        self.owned.session_lost()
+        """Drop all shards and samples."""
+        self.owned_shards.session_lost()
         self.runner.forget_samples()
 
     async def _work(self) -> None:
--- a/orchidhatch/control/controller/shard_assignment.py
+++ b/orchidhatch/control/controller/shard_assignment.py
@@ -1,7 +1,7 @@
-"""Which holder is to own which shard: evenly, without coordination, with few moves as holders come and go.
+"""Assignment of shards to holders: even, without coordination, and with few moves as holders come and go.
 
-Rendezvous hashing with bounded load: each shard ranks the holders by a hash of both, and goes to the first of
-them that has capacity, which is the mean number of shards, rounded up.
+This is rendezvous hashing with bounded load. Each shard ranks the holders by a hash of shard and holder, and
+is assigned to the first one below its capacity, which is the mean number of shards per holder, rounded up.
 """
 
 import hashlib
@@ -10,31 +10,33 @@
 
 
 def rank(shard: str, holder: str) -> bytes:
-    """How much a shard prefers a holder; the lowest comes first."""
+    """Return a shard's rank of a holder; the lowest is preferred."""
     return hashlib.blake2b(f"{shard} {holder}".encode(), digest_size=8).digest()
 
 
 def ranked_holders(shard: str, holders: Iterable[str]) -> list[str]:
-    """The holders in the shard's order of preference."""
+    """Return the holders in the shard's order of preference."""
     return sorted(holders, key=lambda holder: rank(shard, holder))
 
 
 def assign_shards(
     shards: Iterable[str], holders: Sequence[str], excluded: Mapping[str, str] | None = None
 ) -> dict[str, str]:
-    """The owner of each shard; empty where there are no holders. Whoever knows the same computes the same.
+    """Return the owner of each shard, or an empty dict if there are no holders.
 
-    `excluded` has a holder by shard that the shard does not go to, unless it is the only one.
+    All controllers compute the same result from the same arguments. `excluded` maps a shard to a holder that
+    it is not assigned to unless there is no other one.
     """
     excluded = excluded or {}
-    names = sorted(set(holders))
-    if not names:
+    holder_names = sorted(set(holders))
+    if not holder_names:
         return {}
-    preferences = {shard: ranked_holders(shard, names) for shard in sorted(shards)}
-    capacity = -(-len(preferences) // len(names))
+    preferences = {shard: ranked_holders(shard, holder_names) for shard in sorted(shards)}
+    capacity = -(-len(preferences) // len(holder_names))
     load: Counter[str] = Counter()
     owners: dict[str, str] = {}
-    # The shards whose first choice is clearest come first: those that overflow are then the least particular.
+    # Shards with the strongest first preference are assigned first, so that those with the weakest one
+    # overflow.
     for shard in sorted(preferences, key=lambda shard: rank(shard, preferences[shard][0])):
         ranked = preferences[shard]
         candidates = [name for name in ranked if name != excluded.get(shard)] or ranked
--- a/orchidhatch/control/controller/shards.py
+++ b/orchidhatch/control/controller/shards.py
@@ -1,4 +1,4 @@
-"""The shards that tasks lie in, and which of them this process owns by a claim at the registry."""
+"""The shards of tasks, and those that this process owns through claims at the registry."""
 
 import hashlib
 import logging
@@ -20,27 +20,27 @@
 SHARD_COUNT = 32
 SHARDS = tuple(f"shard-{number:02}" for number in range(SHARD_COUNT))
 CLAIM_PURPOSE = "tasks"
-# Of the tasks in one shard, one after another; then the shard is released for another controller to try.
+# After this many consecutive failed steps in a shard, it is released for another controller to try.
 MAX_SHARD_FAILURES = 5
 HASH_BYTES = 4
 
 
 def shard_of_task(record_name: str) -> str:
-    """The shard that a task lies in, by the name of its record."""
+    """Return the shard of a task by the name of its record."""
     digest = hashlib.blake2b(record_name.encode(), digest_size=HASH_BYTES).digest()
     return SHARDS[int.from_bytes(digest) % len(SHARDS)]
 
 
 @dataclass
 class OwnedShard:
-    """A shard that this process owns, and the steps that failed in it since the last that did not."""
+    """A shard that this process owns, with the number of failed steps since the last successful one."""
 
     epoch: int
     failures: int = 0
 
 
 class OwnedShards:
-    """The shards that this process believes to own. Only this class writes them."""
+    """The shards that this process owns as far as it knows. Only this class writes them."""
 
     def __init__(self) -> None:
         self._owned: dict[str, OwnedShard] = {}
@@ -52,36 +52,36 @@
         return len(self._owned)
 
     def names(self) -> set[str]:
-        """The owned shards."""
+        """Return the names of the owned shards."""
         return set(self._owned)
 
     def epoch_of(self, shard: str) -> int | None:
-        """The epoch of the claim on a shard; None where it is not owned."""
+        """Return the epoch of the claim on a shard; None if the shard is not owned."""
         owned = self._owned.get(shard)
         return owned.epoch if owned else None
 
     def add(self, shard: str, epoch: int) -> None:
-        """Own a shard from now on."""
+        """Add a shard, with the epoch of its claim."""
         self._owned[shard] = OwnedShard(epoch)
 
     def drop(self, shard: str) -> None:
-        """Own a shard no more."""
+        """Remove a shard if it is owned."""
         self._owned.pop(shard, None)
 
     def count_success(self, shard: str) -> None:
-        """A step in the shard was carried out."""
+        """Reset the shard's number of failures after a successful step."""
         if shard in self._owned:
             self._owned[shard].failures = 0
 
     def count_failure(self, shard: str) -> bool:
-        """A step in the shard failed; whether the shard is to be released over it."""
+        """Count a failed step in the shard, and return whether to release the shard because of it."""
         if shard not in self._owned:
             return False
         self._owned[shard].failures += 1
         return self._owned[shard].failures >= MAX_SHARD_FAILURES
 
     def session_renewed(self, claim_epochs: Mapping[str, int]) -> None:
-        """Drop the shards that the registry does not have at the epoch known here."""
+        """Drop the shards whose claims the registry does not have at the epoch known here."""
         lost = [shard for shard, owned in self._owned.items() if claim_epochs.get(shard) != owned.epoch]
         for shard in lost:
             log.warning("shard lost: shard=%s epoch=%d", shard, self._owned[shard].epoch)
@@ -93,7 +93,7 @@
 
 
 class ShardBalancer:
-    """Takes and releases claims so that all controllers own equal shares of the shards."""
+    """Takes and releases claims so that all controllers own about the same number of shards."""
 
     def __init__(self, session: Session, owned: OwnedShards, registry: RegistryApi) -> None:
         self._session = session
@@ -102,10 +102,10 @@
         self._status = ClaimsStatus(sessions=[], claims=[])
 
     async def rebalance(self) -> None:
-        """Release shards that are another's by now, then take those that are ours and free.
+        """Release the shards assigned to other controllers, and take the free ones assigned to this one.
 
-        A shard's next owner takes it only once it was released. Where the registry cannot be read, the last
-        known state decides.
+        A shard's next owner takes it only after it was released. If the registry cannot be read, the last
+        known state is used.
         """
         status = await self._registry.read_claims()
         if status is not None:
@@ -119,18 +119,21 @@
         for shard in SHARDS:
             claim = claims.get(shard, ClaimStatus(shard))
             owner = claim.handed_to if claim.handed_to in holders else owners[shard]
-            await self._settle(claim, owner)
+            await self._reconcile(claim, owner)
 
-    async def _settle(self, claim: ClaimStatus, owner: str) -> None:
-        """Release or take one shard, if its assigned owner calls for it."""
+    async def _reconcile(self, claim: ClaimStatus, owner: str) -> None:
+        """Release or take one shard if its owner differs from the assigned one."""
         if claim.suspended:
             return
-        # By the registry's table, whether or not it is owned here: the reply to a release may have been lost.
-        is_ours = bool(claim.holder) and claim.incarnation == self._session.incarnation
-        if is_ours and owner != self._session.holder:
+        # Taken from the registry's state, not from the owned shards, as the reply to a release may have been
+        # lost.
+        is_held_here = bool(claim.holder) and claim.incarnation == self._session.incarnation
+        if is_held_here and owner != self._session.holder:
             await self.release(claim.name, claim.epoch)
         elif (
-            owner == self._session.holder and claim.name not in self._owned and (is_ours or not claim.holder)
+            owner == self._session.holder
+            and claim.name not in self._owned
+            and (is_held_here or not claim.holder)
         ):
             await self._take(claim.name)
 
@@ -142,7 +145,10 @@
             self._owned.add(shard, claim.epoch)
 
     async def release(self, shard: str, epoch: int, reason: str = "") -> None:
-        """Release a shard. It is dropped first: nothing more is done under the claim, whatever the reply."""
+        """Release a shard.
+
+        It is dropped first, so that no more actions are carried out under the claim whatever the reply is.
+        """
         self._owned.drop(shard)
         request = ReleaseClaimRequest(self._session.holder, self._session.incarnation, epoch, reason)
         await self._registry.release_claim(shard, request)
--- a/orchidhatch/control/controller/stored_json.py
+++ b/orchidhatch/control/controller/stored_json.py
@@ -1,4 +1,4 @@
-"""JSON texts of the registry's records, to and from typed values."""
+"""Encoding and decoding of the JSON texts in the registry's records."""
 
 import json
 from typing import TypeVar
@@ -9,17 +9,17 @@
 
 
 def decode_stored(text: str, value_type: type[ValueT]) -> ValueT:
-    """The value in a record's text; raises ValueError where it is of another type or nested too deeply.
+    """Return the value in a record's text.
 
-    Not by msgspec's own parser: records may hold lone surrogates, which come from command lines that are not
-    UTF-8, and which it rejects.
+    Raises ValueError if it is malformed, of another type or nested too deeply. The text is not parsed by
+    msgspec, which rejects lone surrogates: records may contain them, from command lines that are not UTF-8.
     """
     try:
         return msgspec.convert(json.loads(text), value_type)
     except RecursionError as error:
-        raise ValueError("nested too deeply") from error
+        raise ValueError("the JSON value is nested too deeply") from error
 
 
 def encode_stored(value: msgspec.Struct) -> str:
-    """The text of a record, in the form that earlier versions write."""
+    """Return the text of a record in the form that earlier versions write."""
     return json.dumps(msgspec.to_builtins(value))
--- a/orchidhatch/control/controller/summary.py
+++ b/orchidhatch/control/controller/summary.py
@@ -1,4 +1,4 @@
-"""A summary of the fleet from the metrics of all its gateways, with those that are unlike the others."""
+"""Fleet summaries from the metrics of all gateways, with the gateways that are outliers."""
 
 import statistics
 from collections.abc import Mapping
@@ -6,20 +6,20 @@
 import msgspec
 from msgspec import field
 
-# A value is an outlier if it is farther from the median than so many median absolute deviations; and at least
-# this share of the requests, as gateways that are all alike have a deviation of next to nothing.
+# A value is an outlier if its distance from the median exceeds this many median absolute deviations as well
+# as this share of the requests; the second limit is for gateways so similar that the deviation is close to 0.
 OUTLIER_DEVIATIONS = 6.0
 MIN_OUTLIER_DISTANCE = 0.05
 MIN_GATEWAYS_FOR_OUTLIERS = 3
-# Requests of a gateway since its last sample, below which its shares say nothing.
+# With fewer requests since its last sample, a gateway's shares are not meaningful.
 MIN_REQUESTS = 20
-# Gateways of each sort that are named: a record has room for few.
+# The maximum number of gateways in each list of names, as the size of a record is limited.
 MAX_NAMED_GATEWAYS = 12
 METRIC_PREFIX = "proxy_"
 
 
 class MetricsSample(msgspec.Struct, frozen=True):
-    """A gateway's metrics: counters since its start by how requests ended, and two gauges."""
+    """A gateway's metrics: counters of requests and attempts since its start, and two gauges."""
 
     answered: int = 0
     deferred: int = 0
@@ -28,13 +28,17 @@
     current: int = 0
     unhealthy: int = 0
 
-    def ended(self) -> int:
-        """Requests that have ended, in whichever way."""
+    def ended_requests(self) -> int:
+        """Return the number of requests with any outcome."""
         return self.answered + self.deferred + self.errored
 
-    def since(self, previous: "MetricsSample | None") -> "MetricsSample":
-        """The increase since a sample; all of it after a restart, by which the counters are lower."""
-        if previous is None or previous.ended() > self.ended() or previous.sends > self.sends:
+    def increase_since(self, previous: "MetricsSample | None") -> "MetricsSample":
+        """Return the increase since a sample, or this whole sample if lower counters show a restart."""
+        if (
+            previous is None
+            or previous.ended_requests() > self.ended_requests()
+            or previous.sends > self.sends
+        ):
             return self
         return MetricsSample(
             answered=self.answered - previous.answered,
@@ -47,7 +51,7 @@
 
 
 class Outliers(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Shares by gateway, of those that are far from the median: of the requests that ended."""
+    """The outliers' shares by gateway, each relative to the gateway's requests with any outcome."""
 
     answered: dict[str, float] = {}
     errored: dict[str, float] = {}
@@ -55,7 +59,7 @@
 
 
 class FleetSummary(msgspec.Struct, frozen=True):
-    """Totals over all gateways since the sample before; `is_first` if there was none."""
+    """Totals over all gateways since the previous samples; `is_first` means that there were none."""
 
     gateway_count: int = field(name="doors")
     is_first: bool = field(name="first")
@@ -81,21 +85,24 @@
 
 
 def parse_gateway_metrics(text: str) -> MetricsSample | None:
-    """A sample from a gateway's /stats, summed over labels; None where a metric is missing or no number."""
+    """Return the sample in a gateway's /stats, summed over labels; None if a metric is missing or invalid."""
     totals = dict.fromkeys(MetricsSample.__struct_fields__, 0)
-    seen = set[str]()
+    found_attributes = set[str]()
     for line in text.splitlines():
         name, _, value = line.rpartition(" ")
         metric = name.removeprefix(METRIC_PREFIX).partition("{")[0]
         attribute = FIELDS_BY_METRIC.get(metric)
         if attribute and value.isascii() and value.isdigit():
             totals[attribute] += int(value)
-            seen.add(attribute)
-    return MetricsSample(**totals) if len(seen) == len(FIELDS_BY_METRIC) else None
+            found_attributes.add(attribute)
+    return MetricsSample(**totals) if len(found_attributes) == len(FIELDS_BY_METRIC) else None
 
 
 def find_outliers(values: Mapping[str, float]) -> list[str]:
-    """The names whose value is far from the median, the farthest first; none among fewer than three."""
+    """Return the names whose values are outliers, farthest first.
+
+    Fewer than MIN_GATEWAYS_FOR_OUTLIERS values have no outliers.
+    """
     if len(values) < MIN_GATEWAYS_FOR_OUTLIERS:
         return []
     median = statistics.median(values.values())
@@ -107,18 +114,23 @@
 
 
 def outlier_shares(shares: Mapping[str, float]) -> dict[str, float]:
-    """The shares of the farthest outliers, rounded, as many as are named."""
+    """Return the rounded shares of the farthest outliers, at most MAX_NAMED_GATEWAYS of them."""
     return {name: round(shares[name], 3) for name in find_outliers(shares)[:MAX_NAMED_GATEWAYS]}
 
 
 def summarize_fleet(
     previous: Mapping[str, MetricsSample], current: Mapping[str, MetricsSample | None]
 ) -> FleetSummary:
-    """What happened since the previous samples, by gateway; None stands for a gateway that did not answer."""
+    """Return the summary of the increases since the previous samples.
+
+    Samples are by gateway; a current one is None if the gateway did not answer.
+    """
     increases = {
-        name: sample.since(previous.get(name)) for name, sample in current.items() if sample is not None
+        name: sample.increase_since(previous.get(name))
+        for name, sample in current.items()
+        if sample is not None
     }
-    busy = {name: sample for name, sample in increases.items() if sample.ended() >= MIN_REQUESTS}
+    busy = {name: sample for name, sample in increases.items() if sample.ended_requests() >= MIN_REQUESTS}
     silent = sorted(name for name, sample in current.items() if sample is None)
     samples = increases.values()
     return FleetSummary(
@@ -134,9 +146,13 @@
         silent_count=len(silent),
         outliers=Outliers(
             answered=outlier_shares(
-                {name: sample.answered / sample.ended() for name, sample in busy.items()}
+                {name: sample.answered / sample.ended_requests() for name, sample in busy.items()}
+            ),
+            errored=outlier_shares(
+                {name: sample.errored / sample.ended_requests() for name, sample in busy.items()}
+            ),
+            sends=outlier_shares(
+                {name: sample.sends / sample.ended_requests() for name, sample in busy.items()}
             ),
-            errored=outlier_shares({name: sample.errored / sample.ended() for name, sample in busy.items()}),
-            sends=outlier_shares({name: sample.sends / sample.ended() for name, sample in busy.items()}),
         ),
     )
--- a/orchidhatch/control/controller/task.py
+++ b/orchidhatch/control/controller/task.py
@@ -1,7 +1,8 @@
-"""What a task of the fleet controller is: a stored record, and steps that each make at most one change.
+"""The base of the fleet controller's tasks: a stored record, and steps that each make at most one change.
 
-A step stores the state that calls for an action before the next step carries the action out. All actions are
-idempotent and are repeated until their result is stored, so that any controller may go on where one stopped.
+One step stores the state that stands for an action, and the next step carries out the action. All actions are
+idempotent and are repeated until their result is stored, so any controller can resume a task that was
+interrupted.
 """
 
 from collections.abc import Sequence
@@ -17,30 +18,30 @@
 
 
 class GatewayCommand(StrEnum):
-    """What a gateway can be commanded to do with one backend."""
+    """Commands to a gateway about one backend; the values are parts of the path."""
 
     WITHDRAW = "maint"
     RESTORE = "ready"
 
 
 class GatewayQuery(StrEnum):
-    """What a gateway can be asked."""
+    """Queries to a gateway; the values are parts of the path."""
 
     METRICS = "stats"
 
 
 class TaskContext(Protocol):
-    """What a task may do, on behalf of the claim on its shard.
+    """The actions that a task may carry out, under the claim on its shard.
 
-    Each method raises StepPostponedError where nobody answers or the claim may have been lost, and each that
-    changes something raises FencedError where the claim belongs to another controller.
+    Methods raise StepPostponedError if no reply is received or the claim may have been lost. Methods that
+    change something raise FencedError if another controller holds the claim.
     """
 
     async def read(self, path: str) -> RegistryReply:
-        """The registry's reply to a read."""
+        """Read from the registry and return its reply."""
 
     async def read_record(self, name: str) -> StoredRecord | None:
-        """A record of the registry; None where it has none of that name."""
+        """Return a record of the registry; None if there is none of that name."""
 
     async def set_lifecycle(self, instance_id: str, lifecycle: str) -> RegistryReply:
         """Change an endpoint's lifecycle in the endpoint list."""
@@ -52,31 +53,40 @@
         """Have the registry back up its store."""
 
     async def expire_leases(self) -> RegistryReply:
-        """Have the registry remove the endpoints whose leases are overdue."""
+        """Have the registry remove the endpoints whose leases have expired."""
 
     async def put_record(self, name: str, text: str, if_version: int | None = None) -> RegistryReply:
-        """Write a record, or remove it by an empty text; only at `if_version` where that is given."""
+        """Write a record, or remove it if the text is empty.
+
+        The write is rejected if `if_version` is given and the record is at another version.
+        """
 
     async def save(self, task: "Task[Any]") -> None:
-        """Store a task's record; raises StaleRecordError where it was written since it was read."""
+        """Store a task's record; raises StaleRecordError if it was written since it was read."""
 
     async def command_gateways(
         self, task: "Task[Any]", instance_id: str, command: GatewayCommand
     ) -> Sequence[str]:
-        """Send a command about a backend to each gateway; the agents whose gateways did not carry it out."""
+        """Send a command about a backend to each gateway.
+
+        Returns the agents whose gateways did not carry it out.
+        """
 
     async def query_gateways(self, query: GatewayQuery) -> dict[str, str]:
-        """Each gateway's answer by its agent's address; empty where it gives none."""
+        """Return each gateway's reply by its agent's address; empty for a gateway that does not reply."""
 
     def claim_term(self) -> int:
-        """The registry's term that the claim was taken in."""
+        """Return the registry's term in which the claim was taken."""
 
     def metrics_samples(self, task: "Task[Any]") -> dict[str, MetricsSample]:
-        """The last sample of each gateway that this process took for a task; the caller changes it."""
+        """Return the last samples that this process took for a task, by gateway.
+
+        The caller updates the returned dict in place.
+        """
 
 
 class Task(Generic[RecordT]):
-    """A task as its record has it. Each kind of task is a subclass."""
+    """A task and its stored record. Each kind of task is a subclass."""
 
     record_type: ClassVar[type[Struct]]
 
@@ -86,9 +96,9 @@
         self.record = record
 
     async def step(self, context: TaskContext) -> None:
-        """Carry out the next action, if one is due, and store how far the task is.
+        """Carry out the next action if one is due, and store the progress of the task.
 
-        Raises TaskFailedError where the registry rejects the action, and what the context raises.
+        Raises TaskFailedError if the registry rejects the action, and the errors of the context.
         """
         raise NotImplementedError
 
--- a/orchidhatch/control/controller/task_context.py
+++ b/orchidhatch/control/controller/task_context.py
@@ -1,4 +1,4 @@
-"""What a task may do, carried out under the claim on its shard."""
+"""The implementation of TaskContext: actions under the claim on a task's shard."""
 
 import msgspec
 
@@ -44,23 +44,23 @@
         self._samples = samples
 
     def check_ownership(self) -> None:
-        """Raise StepPostponedError unless, as far as this process knows, the claim is still its own."""
+        """Raise StepPostponedError unless this process still holds the claim as far as it knows."""
         if self._owned.epoch_of(self.shard) != self.epoch or not self._session.may_act:
-            raise StepPostponedError(f"{self.shard} may belong to another controller by now")
+            raise StepPostponedError(f"another controller may own {self.shard} by now")
 
     def claim_term(self) -> int:
-        """The registry's term that the claim was taken in."""
+        """Return the registry's term in which the claim was taken."""
         return self.epoch >> EPOCH_COUNT_BITS
 
     async def read(self, path: str) -> RegistryReply:
-        """The registry's reply to a read."""
+        """Read from the registry and return its reply."""
         reply = await self._registry.request("GET", path)
-        if reply.unavailable:
+        if reply.is_unavailable:
             raise StepPostponedError("no registry answers")
         return reply
 
     async def read_record(self, name: str) -> StoredRecord | None:
-        """A record of the registry; None where it has none of that name."""
+        """Return a record of the registry; None if there is none of that name."""
         reply = await self.read(f"/records/{name}")
         return msgspec.convert(reply.body, StoredRecord) if reply.ok else None
 
@@ -78,11 +78,14 @@
         return await self._write("POST", "/backup", self._fenced_request())
 
     async def expire_leases(self) -> RegistryReply:
-        """Have the registry remove the endpoints whose leases are overdue."""
+        """Have the registry remove the endpoints whose leases have expired."""
         return await self._write("POST", "/leases/end", self._fenced_request())
 
     async def put_record(self, name: str, text: str, if_version: int | None = None) -> RegistryReply:
-        """Write a record, or remove it by an empty text; only at `if_version` where that is given."""
+        """Write a record, or remove it if the text is empty.
+
+        The write is rejected if `if_version` is given and the record is at another version.
+        """
         request = PutRecordRequest(
             claim=self.shard,
             epoch=self.epoch,
@@ -92,17 +95,21 @@
         return await self._write("POST", f"/records/{name}", request)
 
     async def save(self, task: Task) -> None:
-        """Store a task's record; raises StaleRecordError where it was written since it was read."""
+        """Store a task's record; raises StaleRecordError if it was written since it was read."""
         if task.record.message is msgspec.UNSET:
             task.record.message = ""
         reply = await self.put_record(task.name, encode_task_record(task.record), task.version)
         if not reply.ok:
-            raise StaleRecordError(f"{task.name} was written by somebody else: {reply.error_text}")
+            raise StaleRecordError(f"{task.name} was not saved: {reply.error_text}")
         task.version = msgspec.convert(reply.body, StoredRecord).version
 
     async def command_gateways(self, task: Task, instance_id: str, command: GatewayCommand) -> list[str]:
-        """Send a command about a backend to each gateway; the agents whose gateways did not carry it out."""
-        # Numbers rise with each save of the task; the term in front makes a promoted registry's higher.
+        """Send a command about a backend to each gateway.
+
+        Returns the agents whose gateways did not carry it out.
+        """
+        # The number rises with each save of the task. The term in its upper bits makes the numbers under a
+        # promoted registry higher than all earlier ones.
         number = self.claim_term() << EPOCH_COUNT_BITS | task.version
         fenced_call = FencedCallRequest(claim=self.shard, epoch=self.epoch, number=number)
         return await self._gateways.command(
@@ -110,11 +117,14 @@
         )
 
     async def query_gateways(self, query: GatewayQuery) -> dict[str, str]:
-        """Each gateway's answer by its agent's address; empty where it gives none."""
+        """Return each gateway's reply by its agent's address; empty for a gateway that does not reply."""
         return await self._gateways.query(query.value)
 
     def metrics_samples(self, task: Task) -> dict[str, MetricsSample]:
-        """The last sample of each gateway that this process took for a task; the caller changes it."""
+        """Return the last samples that this process took for a task, by gateway.
+
+        The caller updates the returned dict in place.
+        """
         return self._samples.setdefault(task.name, {})
 
     def _fenced_request(self) -> FencedRequest:
@@ -123,8 +133,8 @@
     async def _write(self, method: str, path: str, request: FencedRequest) -> RegistryReply:
         self.check_ownership()
         reply = await self._registry.request(method, path, request)
-        if reply.fenced:
+        if reply.is_fenced:
             raise FencedError(reply.error_text)
-        if reply.unavailable:
+        if reply.is_unavailable:
             raise StepPostponedError("no registry accepts writes")
         return reply
--- a/orchidhatch/control/controller/task_kinds.py
+++ b/orchidhatch/control/controller/task_kinds.py
@@ -1,4 +1,4 @@
-"""Which class carries out which kind of task."""
+"""The task class of each kind of task."""
 
 from collections.abc import Mapping
 
@@ -20,7 +20,7 @@
 
 
 def decode_task(kind: TaskKind, stored: StoredRecord) -> Task:
-    """The task in a record; raises ValueError where a field is missing or of a wrong type."""
+    """Return the task in a record; raises ValueError if a field is missing or of a wrong type."""
     task_type = TASK_TYPES[kind]
     record = decode_stored(stored.text, task_type.record_type)
     return task_type(stored.name, stored.version, record)
--- a/orchidhatch/control/controller/task_records.py
+++ b/orchidhatch/control/controller/task_records.py
@@ -1,8 +1,9 @@
-"""The records that tasks of the fleet controller are stored in at the registry.
+"""The registry records in which the fleet controller's tasks are stored.
 
-A record's name is TASK_RECORD_PREFIX and the task's own name, its text a JSON object whose `kind` says which
-of the types below it is. Controllers of different versions read each other's records, so the JSON names never
-change. Times are durations that remain, in milliseconds: no machine's clock is compared with another's.
+A record's name is TASK_RECORD_PREFIX followed by the task's name. Its text is a JSON object whose `kind`
+selects one of the types below. Controllers of different versions read each other's records, so the JSON names
+never change. Times are stored as remaining durations in milliseconds, so that no two machines' clocks are
+compared.
 """
 
 import json
@@ -20,12 +21,13 @@
 KIND_FIELD = "kind"
 MAX_QUOTED_CHARACTERS = 100
 MAX_QUOTED_NAME_CHARACTERS = 80
-# These end each record's text, as in earlier versions; the fault trials read a state near its beginning.
+# These fields come last in each record's text, as in earlier versions; the fault trials read fields near its
+# start.
 TRAILING_FIELDS = ("state", "done", "told")
 
 
 class TaskKind(StrEnum):
-    """What a task does, as its record's `kind`."""
+    """The kinds of tasks; the values are those of a record's `kind`."""
 
     DRAIN = "drain"
     BACKUP = "backup"
@@ -35,10 +37,10 @@
 
 
 class DrainState(StrEnum):
-    """How far a drain is.
+    """The progress of a drain.
 
-    A marked endpoint is DRAINING in the endpoint list; gateways send a withdrawn one no new requests; an
-    unlisted one was removed from the endpoint list by somebody else.
+    MARKED: the endpoint is DRAINING in the endpoint list. WITHDRAWN: the gateways were told to send it no new
+    requests. UNLISTED: the endpoint was removed from the endpoint list by other means.
     """
 
     REQUESTED = "asked"
@@ -51,20 +53,20 @@
 
 
 class DrainEnd(StrEnum):
-    """What becomes of the endpoint once its time has passed."""
+    """What is done with the endpoint at the end of the drain."""
 
     REMOVE = "remove"
     RESTORE = "back"
 
 
 class RecurringState(StrEnum):
-    """Recurring tasks have one state only, as they are never done."""
+    """The only state of recurring tasks, which are never done."""
 
     REQUESTED = "asked"
 
 
 class DrainRecord(Struct, kw_only=True, tag_field=KIND_FIELD, tag=str(TaskKind.DRAIN)):
-    """A drain of one endpoint."""
+    """The drain of one endpoint."""
 
     instance_id: str = field(name="id")
     remaining_ms: int = field(name="leftMs")
@@ -76,7 +78,7 @@
 
 
 class BackupRecord(Struct, kw_only=True, tag_field=KIND_FIELD, tag=str(TaskKind.BACKUP)):
-    """Backups of the registry's store, one each `interval_ms`. The message is the last one's file name."""
+    """Backups of the registry's store every `interval_ms`; the message is the file name of the last one."""
 
     interval_ms: int = field(name="everyMs")
     remaining_ms: int = field(name="leftMs")
@@ -95,7 +97,7 @@
 
 
 class SummaryRecord(Struct, kw_only=True, tag_field=KIND_FIELD, tag=str(TaskKind.SUMMARY)):
-    """Summaries of the fleet's metrics, one each `interval_ms`; `fleet` is the last one."""
+    """Summaries of the fleet's metrics every `interval_ms`; `fleet` is the last one."""
 
     interval_ms: int = field(name="everyMs")
     remaining_ms: int = field(name="leftMs")
@@ -107,7 +109,7 @@
 
 
 class TaskRecord(Protocol):
-    """What the records of all tasks have."""
+    """The fields that the records of all tasks have."""
 
     state: StrEnum
     done: bool
@@ -115,38 +117,38 @@
 
 
 class TaskHeader(Struct):
-    """What is read of a record before it is known which type it is of."""
+    """The fields that are read from a record to determine its type."""
 
     kind: TaskKind
     done: bool = False
 
 
 def decode_header(record_name: str, text: str) -> TaskHeader:
-    """The kind of the task in a record's text; raises InvalidTaskError where it is none."""
+    """Return the header of the task in a record's text; raises InvalidTaskError if it is malformed."""
     try:
         return decode_stored(text, TaskHeader)
     except ValueError as error:
         name = f"{record_name!r:.{MAX_QUOTED_NAME_CHARACTERS}}"
-        raise InvalidTaskError(f"{name} is no task: {error!s:.{MAX_QUOTED_CHARACTERS}}") from error
+        raise InvalidTaskError(f"{name} is not a task: {error!s:.{MAX_QUOTED_CHARACTERS}}") from error
 
 
 def encode_task_record(record: Struct) -> str:
-    """The text of a task's record, in the form that earlier versions write."""
+    """Return the text of a task's record in the form that earlier versions write."""
     values = msgspec.to_builtins(record)
     trailing = {name: values.pop(name) for name in TRAILING_FIELDS if name in values}
     return json.dumps(values | trailing)
 
 
 def new_backup(interval_ms: int) -> BackupRecord:
-    """A request for recurring backups, the first of them at once."""
+    """Return a request for recurring backups, the first one at once."""
     return BackupRecord(interval_ms=interval_ms, remaining_ms=0)
 
 
 def new_summary(interval_ms: int) -> SummaryRecord:
-    """A request for recurring summaries, the first of them at once."""
+    """Return a request for recurring summaries, the first one at once."""
     return SummaryRecord(interval_ms=interval_ms, remaining_ms=0)
 
 
 def new_drain(instance_id: str, remaining_ms: int, end: DrainEnd) -> DrainRecord:
-    """A request to drain an endpoint and to end the drain after `remaining_ms`."""
+    """Return a request to drain an endpoint and to end the drain after `remaining_ms`."""
     return DrainRecord(instance_id=instance_id, remaining_ms=remaining_ms, end=end)
--- a/orchidhatch/control/controller/task_runner.py
+++ b/orchidhatch/control/controller/task_runner.py
@@ -1,4 +1,4 @@
-"""Makes one step of each task in the shards that this process owns."""
+"""Carries out the steps of the tasks in the shards that this process owns."""
 
 import logging
 
@@ -17,9 +17,9 @@
 
 
 class TaskRunner:
-    """Steps tasks, and decides what follows from an error of one.
+    """Carries out steps of tasks and handles their errors.
 
-    `fenced_steps` counts the steps that were rejected because the claim belongs to another controller.
+    `fenced_steps` counts the steps that were rejected because another controller holds the claim.
     """
 
     def __init__(
@@ -39,7 +39,7 @@
         self._samples: SamplesByTask = {}
 
     async def run_once(self) -> None:
-        """One step of each task; nothing where no registry shows the records."""
+        """Carry out one step of each task; none if no registry returns the records."""
         for record in await self._registry.read_records() or ():
             shard = shard_of_task(record.name)
             is_task = record.name.startswith(TASK_RECORD_PREFIX)
@@ -47,22 +47,26 @@
                 await self._run_record(shard, record)
 
     def context_of(self, shard: str) -> ClaimContext:
-        """What a task in an owned shard may do, on behalf of the claim as it is now."""
+        """Return the context for the tasks of an owned shard, at the current epoch of its claim."""
         epoch = self._owned.epoch_of(shard)
         return ClaimContext(
             shard, epoch, self._session, self._owned, self._registry, self._gateways, self._samples
         )
 
     def forget_samples(self) -> None:
-        """Begin all summaries anew, as a process that has just started."""
+        """Discard the samples of all tasks, so that their summaries start again."""
         self._samples.clear()
 
     async def _run_record(self, shard: str, record: StoredRecord) -> None:
-        """A record that cannot be read keeps none of the others in its shard from their steps."""
+        """Carry out a step of the task in a record.
+
+        A record that cannot be decoded is logged and skipped, so that it does not block the shard's other
+        tasks.
+        """
         try:
             header = decode_header(record.name, record.text)
         except InvalidTaskError as error:
-            log.error("task unreadable: %s", error)
+            log.error("task record invalid: %s", error)
             return
         if not header.done:
             await self._step(shard, header.kind, record)
@@ -80,7 +84,7 @@
         except RetryLaterError as error:
             log.warning("step postponed: task=%s reason=%s", record.name, error)
         except Exception as error:
-            # Whatever is wrong with one task must not end the others.
+            # An unexpected error of one task must not stop the others.
             log.exception("step failed: task=%s shard=%s", record.name, shard)
             if self._owned.count_failure(shard):
                 reason = f"{record.name}: {error!r:.{MAX_QUOTED_ERROR_CHARACTERS}}"
--- a/orchidhatch/control/policy/change.py
+++ b/orchidhatch/control/policy/change.py
@@ -1,9 +1,9 @@
-"""A policy change as a task of the fleet controller: prepared at every gateway, then decided by one write.
+"""A policy change as a task of the fleet controller: every gateway prepares, then a single write decides.
 
-Only the decision record says which policy holds. This task may stop at any line, and its next owner goes on
-from its record: the state DECIDING is stored before the decision is written. The states follow one another
-as in ChangeState; a change that fails before the decision is not applied anywhere, and one whose gate fails
-afterwards is undone by a second decision.
+The decision record alone determines the policy in force. The task may be interrupted at any point, and its
+next owner resumes from the stored record; the state DECIDING is stored before the decision is written. The
+states follow the order of ChangeState. A change that fails before the decision is not applied at any gateway;
+one whose gate fails after the decision is undone by a second decision.
 """
 
 from msgspec import UNSET
@@ -38,31 +38,31 @@
 
 SAVE_INTERVAL_S = 2.0
 MAX_NAMED_GATEWAYS = 60
-# After the activation time: how long present gateways have to report that they go by the new policy.
+# How long after the activation time present gateways may take to report that they apply the new policy.
 CONFIRMATION_LIMIT_S = 5.0
 
 
-def joined_names(names: list[str]) -> str:
-    """Names for a message, as many as a record has room for."""
+def join_names(names: list[str]) -> str:
+    """Return the names as a list for a message, as many of them as fit into a record."""
     return ", ".join(names[:MAX_NAMED_GATEWAYS])
 
 
 class PolicyChange(Task[ChangeRecord]):
-    """See the module."""
+    """The task of one policy change; the module's docstring describes its steps."""
 
     record_type = ChangeRecord
 
     async def step(self, context: TaskContext) -> None:
-        """Carry out the action that the stored state calls for; none while a decision may be missing."""
+        """Carry out the action for the stored state, or nothing while the registry may lack a decision."""
         reply = await context.read("/doors")
         if not reply.ok:
-            raise StepPostponedError("the registry does not show the gateways")
+            raise StepPostponedError("the registry did not return the gateways")
         fleet = decode_fleet_status(reply.body)
         if not fleet.is_certain:
             return
         match self.record.state:
             case ChangeState.REQUESTED:
-                await self._begin(context, fleet, fleet.decision)
+                await self._begin_preparation(context, fleet, fleet.decision)
             case ChangeState.PREPARING:
                 await self._prepare(context, fleet, fleet.decision)
             case ChangeState.DECIDING:
@@ -73,7 +73,7 @@
                 await self._watch(context, fleet, fleet.decision)
 
     def is_decided(self, current: Decision) -> bool:
-        """Whether the decision that holds is this change's, or repeats it in a new term of the registry."""
+        """Return whether the current decision is this change's, or repeats it in a new term."""
         if current.change_id == self.record.change_id:
             return True
         base_number = self.record.base_number
@@ -81,29 +81,29 @@
         return is_newer and not current.change_id and current.digest == self.record.digest
 
     def unready_gateways(self, fleet: FleetStatus) -> list[str]:
-        """The gateways that may serve and are not ready for the document."""
+        """Return the names of the gateways that may serve but are not ready for the document."""
         return [
             gateway.name
             for gateway in fleet.gateways
             if gateway.state is not GatewayState.ABSENT and self.record.digest not in (gateway.ready or ())
         ]
 
-    async def _not_applied(self, context: TaskContext, message: str) -> None:
+    async def _end_not_applied(self, context: TaskContext, message: str) -> None:
         await self.move_to(context, ChangeState.NOT_APPLIED, done=True, message=message)
 
     # --- before the decision ---
 
-    async def _begin(self, context: TaskContext, fleet: FleetStatus, current: Decision) -> None:
-        """Note what the change replaces, and have the gateways prepare."""
+    async def _begin_preparation(self, context: TaskContext, fleet: FleetStatus, current: Decision) -> None:
+        """Record the decision that the change replaces, and have the gateways prepare."""
         if await context.read_record(document_record(self.record.digest)) is None:
-            await self._not_applied(context, "there is no such document")
+            await self._end_not_applied(context, "there is no such document")
             return
         if current.digest == self.record.digest:
-            await self._not_applied(context, "it is in force already")
+            await self._end_not_applied(context, "this policy is already in force")
             return
         error = absence_error(fleet.gateways)
         if error and not self.record.force:
-            await self._not_applied(context, f"{error}; force it if that is intended")
+            await self._end_not_applied(context, f"{error}; use --force to change the policy anyway")
             return
         self.record.base_number = current.number
         self.record.previous_digest = current.digest
@@ -111,28 +111,28 @@
         await self.move_to(context, ChangeState.PREPARING)
 
     async def _prepare(self, context: TaskContext, fleet: FleetStatus, current: Decision) -> None:
-        """Wait until all gateways that may serve are ready."""
+        """Wait until all gateways that may serve are ready for the document."""
         if current.number != self.record.base_number:
             if self.is_decided(current):
                 await self.move_to(context, ChangeState.DECIDED)
                 return
-            # The same policy, decided again in a new term; any other one is an obstacle below.
+            # The previous policy was decided again in a new term. Any other policy blocks the change below.
             self.record.base_number = current.number
-        obstacle = self._obstacle(fleet, current)
+        blocking_reason = self._blocking_reason(fleet, current)
         unready = self.unready_gateways(fleet)
-        if obstacle is not None:
-            await self._not_applied(context, obstacle)
+        if blocking_reason is not None:
+            await self._end_not_applied(context, blocking_reason)
         elif not unready:
             await self.move_to(context, ChangeState.DECIDING)
         elif not count_down(self.record, SAVE_INTERVAL_S):
             return
         elif self.record.remaining_ms <= 0:
-            await self._not_applied(context, f"not ready in time: {joined_names(unready)}")
+            await self._end_not_applied(context, f"not ready in time: {join_names(unready)}")
         else:
             await context.save(self)
 
-    def _obstacle(self, fleet: FleetStatus, current: Decision) -> str | None:
-        """Why the change cannot be applied any more; None where it can."""
+    def _blocking_reason(self, fleet: FleetStatus, current: Decision) -> str | None:
+        """Return why the change can no longer be applied; None if it can."""
         errors = [
             f"{gateway.name}: {gateway.document_error}"
             for gateway in fleet.gateways
@@ -143,16 +143,16 @@
         if self.record.dropped:
             return "dropped"
         if current.digest != self.record.previous_digest:
-            return "another policy was put in force meanwhile"
+            return "another policy was put in force in the meantime"
         return None if self.record.force else absence_error(fleet.gateways)
 
     async def _decide(self, context: TaskContext, fleet: FleetStatus, current: Decision) -> None:
-        """Write the decision, on condition that nothing else was decided since."""
+        """Write the decision, on condition that no other decision was written since the preparation."""
         if self.is_decided(current):
             await self.move_to(context, ChangeState.DECIDED)
             return
         if current.number != self.record.base_number or self.unready_gateways(fleet):
-            # Gateways or a term have come since: prepare again, by what holds now.
+            # A gateway or a term is new since the preparation, so prepare again from the current decision.
             await self.move_to(context, ChangeState.PREPARING)
             return
         stored = await context.read_record(DECISION_RECORD)
@@ -160,10 +160,10 @@
             raise StaleRecordError("another decision was written first")
         decision = self._new_decision(context.claim_term(), fleet)
         reply = await context.put_record(DECISION_RECORD, encode_decision(decision), stored.version)
-        if reply.conflict:
+        if reply.is_conflict:
             raise StaleRecordError(f"another decision was written first: {reply.error_text}")
         if not reply.ok:
-            raise TaskFailedError(f"cannot decide: {reply.body}")
+            raise TaskFailedError(f"cannot write the decision: {reply.body}")
         self.record.counts_at_switch = total_counts(fleet.gateways)
         await self.move_to(context, ChangeState.DECIDED)
 
@@ -185,17 +185,20 @@
     # --- after the decision ---
 
     async def _await_activation(self, context: TaskContext, fleet: FleetStatus, current: Decision) -> None:
-        """Wait for the activation time, and for all present gateways to report the new policy."""
+        """Wait until the activation time has passed and all present gateways report the new policy.
+
+        Gateways that do not report it within CONFIRMATION_LIMIT_S are named in the message.
+        """
         if not self.is_decided(current):
-            message = "another policy was decided since"
+            message = "another policy was decided in the meantime"
             await self.move_to(context, ChangeState.UNDONE, done=True, message=message)
             return
         await record_decision(context, current)
-        behind = [gateway.name for gateway in fleet.gateways if is_behind(gateway, current)]
-        confirmation_limit_ms = -CONFIRMATION_LIMIT_S * 1000 if behind else 0
+        lagging = [gateway.name for gateway in fleet.gateways if is_lagging(gateway, current)]
+        confirmation_limit_ms = -CONFIRMATION_LIMIT_S * 1000 if lagging else 0
         if fleet.remaining_ms is None or fleet.remaining_ms > confirmation_limit_ms:
             return
-        message = f"out of service, as they do not go by it: {joined_names(behind)}" if behind else ""
+        message = f"out of service because they do not apply it: {join_names(lagging)}" if lagging else ""
         if self.record.gate:
             await self._begin_watch(context, fleet, message)
             return
@@ -210,7 +213,7 @@
         await self.move_to(context, ChangeState.WATCHED, message=message)
 
     async def _watch(self, context: TaskContext, fleet: FleetStatus, current: Decision) -> None:
-        """Judge the gate until its time is over; undo the change as soon as it fails."""
+        """Evaluate the gate until its period is over, and undo the change as soon as the gate fails."""
         if not count_down(self.record, SAVE_INTERVAL_S):
             return
         verdict = check_gate(
@@ -225,14 +228,14 @@
             await context.save(self)
         else:
             message = (
-                "its gate could not be judged: too few requests, or gateways were restarted"
+                "its gate could not be evaluated: too few requests, or gateways were restarted"
                 if verdict.outcome is GateOutcome.TOO_FEW_REQUESTS
                 else ""
             )
             await self.move_to(context, ChangeState.IN_FORCE, done=True, message=message)
 
     async def _undo(self, context: TaskContext, current: Decision, reason: str) -> None:
-        """Go back to the policy before, which all gateways still have, by a change in place of this one."""
+        """Turn this task into a change to the previous policy, whose document all gateways still have."""
         self.record.change_id = new_change_id()
         self.record.digest = self.record.previous_digest
         self.record.undo_reason = reason
@@ -244,6 +247,6 @@
         await self.move_to(context, ChangeState.PREPARING, message=reason)
 
 
-def is_behind(gateway: GatewayStatus, current: Decision) -> bool:
-    """Whether a gateway that is present does not go by the policy that holds."""
+def is_lagging(gateway: GatewayStatus, current: Decision) -> bool:
+    """Return whether a present gateway does not apply the policy of the current decision."""
     return gateway.state is GatewayState.PRESENT and gateway.active_digest != current.digest
--- a/orchidhatch/control/policy/change_record.py
+++ b/orchidhatch/control/policy/change_record.py
@@ -16,7 +16,7 @@
 
 
 class ChangeState(StrEnum):
-    """How far a change is; the last three are its ends."""
+    """The progress of a change; the last three states are final."""
 
     REQUESTED = "asked"
     PREPARING = "preparing"
@@ -28,25 +28,29 @@
     UNDONE = "undone"
 
 
-# In these the gateways are to be ready for the change's document.
+# The states in which gateways must prepare for the change's document.
 UNDECIDED_STATES = frozenset({ChangeState.REQUESTED, ChangeState.PREPARING, ChangeState.DECIDING})
 DROPPABLE_STATES = frozenset({ChangeState.REQUESTED, ChangeState.PREPARING})
 
 
-class EndCounts(Struct, frozen=True, array_like=True):
-    """How many requests ended in which way, since the gateways' start."""
+class OutcomeCounts(Struct, frozen=True, array_like=True):
+    """The number of requests by outcome since the gateways started."""
 
     answered: int = 0
     deferred: int = 0
     errored: int = 0
 
     def total(self) -> int:
-        """All that ended."""
+        """Return the number of requests with any outcome."""
         return self.answered + self.deferred + self.errored
 
 
 class Gate(Struct, forbid_unknown_fields=True, frozen=True):
-    """How much more of the requests than before may fail in `for_ms` after the switch, as shares of them."""
+    """The limits on failures during the `for_ms` after the switch to a new policy.
+
+    `errored` and `deferred` are the largest accepted increases of these shares of all requests, from 0 to 1;
+    with fewer than `min_requests` before or after the switch there is no verdict.
+    """
 
     for_ms: Annotated[int, Meta(ge=1000, le=3_600_000)]
     errored: Annotated[float, Meta(ge=0, le=1)] = 0.02
@@ -55,10 +59,10 @@
 
 
 class ChangeRecord(Struct, kw_only=True, tag_field=KIND_FIELD, tag=str(TaskKind.POLICY_CHANGE)):
-    """A policy change. What is optional is set by the step that first needs it.
+    """The stored state of a policy change. Optional fields are set by the step that first needs them.
 
-    `base_number` and `previous_digest` are those of the decision that the change replaces; `undo_reason` says
-    why a change is being undone.
+    `base_number` and `previous_digest` are the number and digest of the decision that the change replaces;
+    `undo_reason` says why the change is being undone.
     """
 
     change_id: str = field(name="id")
@@ -70,8 +74,8 @@
     gate: Gate | UnsetType = UNSET
     base_number: int | UnsetType = field(name="base", default=UNSET)
     previous_digest: str | UnsetType = field(name="before", default=UNSET)
-    counts_before: EndCounts | UnsetType = field(name="counts", default=UNSET)
-    counts_at_switch: EndCounts | UnsetType = field(name="at", default=UNSET)
+    counts_before: OutcomeCounts | UnsetType = field(name="counts", default=UNSET)
+    counts_at_switch: OutcomeCounts | UnsetType = field(name="at", default=UNSET)
     counted_at_s: float | UnsetType = field(name="since", default=UNSET)
     dropped: bool | UnsetType = UNSET
     undo_reason: str | UnsetType = field(name="undoes", default=UNSET)
@@ -81,31 +85,34 @@
 
     @property
     def is_in_force(self) -> bool:
-        """Whether the change has ended with its policy in force."""
+        """Return whether the change has ended with its policy in force."""
         return self.state is ChangeState.IN_FORCE
 
 
 class ProposedChange(Struct, frozen=True):
-    """What a registry reads of a change: whether gateways are to be ready for its document."""
+    """The part of a change's record that a registry reads to tell gateways which document to prepare."""
 
     digest: str = ""
     state: str = ""
 
     @property
     def is_undecided(self) -> bool:
-        """Whether it may still be decided."""
+        """Return whether the change may still be decided."""
         return self.state in UNDECIDED_STATES
 
 
 def new_change_id() -> str:
-    """An id that no other change has."""
+    """Return a random id for a new change."""
     return secrets.token_hex(CHANGE_ID_BYTES)
 
 
 def new_change(
     digest: str, requested_by: str, reason: str, gate: Gate | None = None, *, force: bool = False
 ) -> ChangeRecord:
-    """A request to put the document of this digest in force; `force` though many gateways are absent."""
+    """Return a request to put the document with this digest in force.
+
+    `force` allows the change even if many gateways are absent.
+    """
     return ChangeRecord(
         change_id=new_change_id(),
         digest=digest,
@@ -118,7 +125,7 @@
 
 
 def find_change(records: Iterable[Mapping[str, Any]]) -> tuple[ChangeRecord | None, int]:
-    """The last change among the registry's records and its version; None and 0 where there was none."""
+    """Return the last change in the registry's records and its version; None and 0 if there is none."""
     for record in records:
         if record["name"] == CHANGE_TASK_RECORD:
             return decode_stored(record["text"], ChangeRecord), record["version"]
--- a/orchidhatch/control/policy/current_decision.py
+++ b/orchidhatch/control/policy/current_decision.py
@@ -1,4 +1,4 @@
-"""The decision that holds at a registry, and when it is activated."""
+"""The current decision of a registry and its activation time."""
 
 import math
 
@@ -13,10 +13,11 @@
 
 
 class CurrentDecision:
-    """The decision record, decoded once for each of its versions, and its activation time.
+    """The decision record, decoded once per version, and the activation time of the decision.
 
-    The activation time is kept by this process's clock, as clocks of two machines cannot be compared. After a
-    restart it is unknown until an agent reports it or the record of activated decisions names the decision.
+    The activation time refers to this process's clock, as the clocks of two machines cannot be compared.
+    After a restart it is unknown until an agent reports it, unless the record ACTIVATED_RECORD names the
+    decision.
     """
 
     def __init__(self, host: LeaseHost) -> None:
@@ -24,14 +25,14 @@
         self.restart()
 
     def restart(self) -> None:
-        """Forget the activation time, as with a new process or term."""
+        """Discard the activation time, as is needed for a new process or term."""
         self._decoded: Decision | None = None
         self._decoded_version: int | None = None
         self._activated_number: int | None = None
         self._activation_s = math.inf
 
     def get(self) -> Decision | None:
-        """The decision; None where there never was one."""
+        """Return the current decision; None if there never was one."""
         record = self._record(DECISION_RECORD)
         if record is None:
             return None
@@ -41,12 +42,12 @@
         return self._decoded
 
     def is_certain(self) -> bool:
-        """Whether no decision can be missing here: this one was made in the store's own term."""
+        """Return whether the decision is of the store's term, so that no later one can be missing here."""
         decision = self.get()
         return decision is not None and decision.term == self._host.store.term
 
     def remaining_s(self) -> float | None:
-        """Until the activation time, negative after it; None where that is not known."""
+        """Return the seconds until the activation time, negative after it; None if it is unknown."""
         decision = self.get()
         if decision is None:
             return None
@@ -55,12 +56,12 @@
         return -math.inf if self.is_recorded_as_activated() else None
 
     def activate_in(self, delay_s: float) -> None:
-        """The decision that holds now is activated after this delay."""
+        """Set the activation time of the current decision to the end of this delay."""
         self._activated_number = self.get().number
         self._activation_s = self._host.clock() + delay_s
 
     def is_recorded_as_activated(self) -> bool:
-        """Whether the store says that the activation time has passed."""
+        """Return whether the store records that the decision's activation time has passed."""
         decision = self.get()
         record = self._record(ACTIVATED_RECORD)
         return decision is not None and record is not None and record.text == str(decision.number)
--- a/orchidhatch/control/policy/fleet_status.py
+++ b/orchidhatch/control/policy/fleet_status.py
@@ -1,4 +1,4 @@
-"""How the gateways are and which policy holds, as a registry shows it."""
+"""The state of the gateways and the current policy decision, as a registry reports them."""
 
 from collections.abc import Iterable, Mapping
 from enum import StrEnum
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec import UNSET, Struct, UnsetType, field
 
-from orchidhatch.control.policy.change_record import EndCounts
+from orchidhatch.control.policy.change_record import OutcomeCounts
 from orchidhatch.control.policy.policy_records import Decision
 from orchidhatch.control.policy.timing import ABSENT_AFTER_S, LEASE_S
 
@@ -15,7 +15,11 @@
 
 
 class GatewayState(StrEnum):
-    """Whether a gateway serves for certain, may serve, or cannot serve any more."""
+    """The state of a gateway's policy lease.
+
+    A present gateway holds a valid lease, a silent one may still serve, and an absent one cannot serve any
+    more.
+    """
 
     PRESENT = "present"
     SILENT = "silent"
@@ -23,14 +27,15 @@
 
 
 def is_absent(age_s: float) -> bool:
-    """Whether a gateway that last renewed its lease so long ago admits no request any more."""
+    """Return whether a gateway whose last renewal is that old can no longer admit requests."""
     return age_s > ABSENT_AFTER_S
 
 
 def state_by_age(age_s: float, has_renewed: bool) -> GatewayState:
-    """The state of a gateway that last renewed its lease so long ago.
+    """Return the state of a gateway by the age of its last renewal.
 
-    Where it has not renewed since the registry's start, the age is the registry's, and tells of no lease.
+    For a gateway that has not renewed since the registry's start, the age is counted from that start and does
+    not show whether the gateway has a lease.
     """
     if is_absent(age_s):
         return GatewayState.ABSENT
@@ -40,10 +45,10 @@
 
 
 class GatewayStatus(Struct, kw_only=True, frozen=True):
-    """One gateway. What its agent reports is unset until it has renewed at this registry.
+    """The state of one gateway. Fields that its agent reports are unset until it renews at this registry.
 
-    `active_digest` is of the document that it goes by, `ready` of those that it could go by; the document
-    error is the digest of one that it cannot go by, a space and the reason.
+    `active_digest` identifies the document that the gateway applies, `ready` those that it is ready to apply.
+    `document_error` is the digest of a document that it cannot apply, a space and the reason.
     """
 
     name: str
@@ -54,15 +59,15 @@
     number: int | UnsetType = UNSET
     ready: tuple[str, ...] | UnsetType = UNSET
     document_error: str | UnsetType = field(name="flaw", default=UNSET)
-    counts: EndCounts | UnsetType = UNSET
+    counts: OutcomeCounts | UnsetType = UNSET
     serves: bool | UnsetType = UNSET
 
 
 class FleetStatus(Struct, kw_only=True, frozen=True):
-    """All gateways and the decision that holds.
+    """All gateways and the current decision.
 
-    `is_certain`: the registry knows that it misses no decision, which it does once one is of its own term.
-    `remaining_ms`: until the activation time, negative after it; None while the time is not known.
+    `is_certain` says whether the decision is of the registry's own term, so that no later one can be missing.
+    `remaining_ms` is the time until the activation time, negative after it; None while that is unknown.
     """
 
     is_certain: bool = field(name="sure")
@@ -72,25 +77,25 @@
 
 
 def encode_fleet_status(status: FleetStatus) -> dict[str, Any]:
-    """The status as a JSON value. An empty object stands for no decision."""
+    """Return the status as a JSON value, in which an empty object stands for no decision."""
     values = msgspec.to_builtins(status)
     return values | {DECISION_FIELD: values[DECISION_FIELD] or {}}
 
 
 def decode_fleet_status(value: Mapping[str, Any]) -> FleetStatus:
-    """A status from its JSON value; raises msgspec.ValidationError where it is none."""
+    """Return the status in a JSON value; raises msgspec.ValidationError if the value is malformed."""
     return msgspec.convert({**value, DECISION_FIELD: value.get(DECISION_FIELD) or None}, FleetStatus)
 
 
-def total_counts(gateways: Iterable[GatewayStatus]) -> EndCounts:
-    """How requests ended at all present gateways that report it."""
+def total_counts(gateways: Iterable[GatewayStatus]) -> OutcomeCounts:
+    """Return the sum of the request outcomes that present gateways report."""
     counts = [
         gateway.counts
         for gateway in gateways
         if gateway.state is GatewayState.PRESENT and gateway.counts is not UNSET
     ]
-    return EndCounts(
-        answered=sum(one.answered for one in counts),
-        deferred=sum(one.deferred for one in counts),
-        errored=sum(one.errored for one in counts),
+    return OutcomeCounts(
+        answered=sum(count.answered for count in counts),
+        deferred=sum(count.deferred for count in counts),
+        errored=sum(count.errored for count in counts),
     )
--- a/orchidhatch/control/policy/gateway_directory.py
+++ b/orchidhatch/control/policy/gateway_directory.py
@@ -1,9 +1,9 @@
-"""The gateways that a registry has listed, and what each one's agent reported last."""
+"""The gateways that are registered at a registry, with the last report of each one's agent."""
 
 from dataclasses import dataclass
 
 from orchidhatch.control.ownership.objects import Gateway
-from orchidhatch.control.policy.change_record import EndCounts
+from orchidhatch.control.policy.change_record import OutcomeCounts
 from orchidhatch.control.policy.fleet_status import GatewayStatus, is_absent, state_by_age
 from orchidhatch.control.policy.lease_host import LeaseHost
 from orchidhatch.control.policy.policy_lease_messages import ListedGateway, PolicyLeaseRenewal
@@ -12,76 +12,79 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedReport:
-    """A report, and when it came by this process's clock."""
+    """A report, and when this process received it by its monotonic clock."""
 
     received_at_s: float
     report: PolicyLeaseRenewal
 
 
 class GatewayDirectory:
-    """The listed gateways are in the claims table; the reports are in memory, and written here only."""
+    """The registered gateways and their reports.
+
+    The gateways are stored in the claims table. The reports are in memory, and only this class writes them.
+    """
 
     def __init__(self, host: LeaseHost) -> None:
         self._host = host
         self.restart()
 
     def restart(self) -> None:
-        """Forget all reports, as with a new process or term: no gateway has reported anything here yet."""
+        """Discard all reports, as is needed for a new process or term."""
         self._reports: dict[str, ReceivedReport] = {}
         self._started_s = self._host.clock()
-        # Without a directory there may be gateways that this registry does not know.
+        # If the directory is empty, there may be gateways that this registry does not know.
         self._is_complete = bool(self._listed)
 
     def names(self) -> list[str]:
-        """The listed gateways."""
+        """Return the names of the registered gateways."""
         return list(self._listed)
 
     def find(self, name: str) -> Gateway | None:
-        """A listed gateway."""
+        """Return a registered gateway; None if there is none of that name."""
         return self._listed.get(name)
 
-    def listed(self) -> list[ListedGateway]:
-        """The directory, as replicas copy it."""
+    def listed_gateways(self) -> list[ListedGateway]:
+        """Return the directory in the form that replicas copy."""
         return [
             ListedGateway(gateway.name, gateway.incarnation, gateway.zone)
             for gateway in self._listed.values()
         ]
 
-    def receive(self, name: str, report: PolicyLeaseRenewal) -> None:
-        """Keep a report, which also renews the gateway's lease."""
+    def store_report(self, name: str, report: PolicyLeaseRenewal) -> None:
+        """Store a report and its time, which counts as the gateway's last renewal."""
         self._reports[name] = ReceivedReport(self._host.clock(), report)
 
-    def forget(self, name: str) -> None:
-        """Drop the report of a gateway that was removed."""
+    def discard_report(self, name: str) -> None:
+        """Discard the report of a removed gateway."""
         self._reports.pop(name, None)
 
     def report_of(self, name: str) -> PolicyLeaseRenewal | None:
-        """What a gateway's agent reported last; None where it has not since the start."""
+        """Return the last report of a gateway's agent; None if there is none since the start."""
         received = self._reports.get(name)
         return received.report if received else None
 
     def reports(self) -> list[PolicyLeaseRenewal]:
-        """The last report of each gateway that has sent one."""
+        """Return the last report of each gateway that has sent one."""
         return [received.report for received in self._reports.values()]
 
     def age_s(self, name: str) -> float:
-        """Since the gateway's last renewal here; since the start, if it never renewed."""
+        """Return the seconds since the gateway's last renewal here, or since the start if there was none."""
         received = self._reports.get(name)
         last_s = received.received_at_s if received else self._started_s
         return self._host.clock() - last_s
 
     def may_serve(self, name: str) -> bool:
-        """Whether a listed gateway's lease may still be valid."""
+        """Return whether a gateway is registered and its lease may still be valid."""
         return name in self._listed and not is_absent(self.age_s(name))
 
     def all_reported(self) -> bool:
-        """Whether every gateway that may still serve has reported what it knows."""
+        """Return whether every gateway that may still serve has reported the decision that it knows."""
         if not self._is_complete and self._host.clock() - self._started_s < ABSENT_AFTER_S:
             return False
         return all(name in self._reports or not self.may_serve(name) for name in self._listed)
 
     def statuses(self) -> tuple[GatewayStatus, ...]:
-        """How each listed gateway is."""
+        """Return the status of each registered gateway."""
         return tuple(map(self._status, self._listed.values()))
 
     def _status(self, gateway: Gateway) -> GatewayStatus:
@@ -100,7 +103,7 @@
             number=report.number,
             ready=report.ready,
             document_error=report.document_error,
-            counts=EndCounts(*report.counts),
+            counts=OutcomeCounts(*report.counts),
             serves=report.serves,
         )
 
--- a/orchidhatch/control/policy/gateway_policy_leases.py
+++ b/orchidhatch/control/policy/gateway_policy_leases.py
@@ -1,8 +1,8 @@
-"""Policy leases of gateways at a registry: who they are, and which policy each renewal entitles them to.
+"""The policy leases of gateways at a registry, and the policy that each renewal permits a gateway to apply.
 
-Gateways serve only under a lease that their agent renews here. A renewal is answered with the decision that
-holds. Until a decision of this store's own term is stored, it is not known whether one is missing here, and
-no lease begins anew: then the gateways report what they know, and the highest decision is decided again.
+A gateway serves only under a lease that its agent renews here; the reply to a renewal contains the current
+decision. Until a decision of the store's own term is stored, a later one may be missing here, and no lease is
+extended; meanwhile the gateways report the decisions that they know, and the highest one is decided again.
 """
 
 import logging
@@ -52,7 +52,7 @@
         self._decision_count = 0
 
     def restart(self) -> None:
-        """Begin anew with a new term: no gateway has reported anything here yet."""
+        """Discard all reports and times, as is needed for a new term."""
         self.current_decision.restart()
         self.directory.restart()
         self.term_decision.restart()
@@ -60,33 +60,38 @@
     # --- requests ---
 
     def check_may_register(self, gateway: Gateway) -> None:
-        """Raise ConflictError while another agent renews the gateway's lease: two would steer one gateway."""
+        """Raise ConflictError while another agent renews the gateway's lease.
+
+        Otherwise two agents would manage one gateway.
+        """
         listed = self.directory.find(gateway.name)
-        is_other = listed is not None and listed.incarnation != gateway.incarnation
-        if is_other and self.directory.age_s(gateway.name) <= LEASE_S:
-            raise ConflictError(f"{gateway.name} is kept by {OTHER_INCARNATION_SIGN} until its lease ends")
+        has_other_agent = listed is not None and listed.incarnation != gateway.incarnation
+        if has_other_agent and self.directory.age_s(gateway.name) <= LEASE_S:
+            raise ConflictError(
+                f"{gateway.name} is managed by {OTHER_INCARNATION_SIGN} until its lease expires"
+            )
 
     def check_may_remove(self, gateway: str) -> None:
-        """Raise ConflictError while a gateway may serve: what it knows is not waited for afterwards."""
+        """Raise ConflictError while a gateway may serve, as reports of a removed one are not awaited."""
         if self.directory.may_serve(gateway):
             limit = f"{ABSENT_AFTER_S:.0f} s after its last renewal"
-            raise ConflictError(f"{gateway} may still serve; it is absent {limit}")
+            raise ConflictError(f"{gateway} may still serve; it can be removed {limit}")
 
     def renew(self, gateway: str, renewal: PolicyLeaseRenewal) -> LeaseAnswer:
-        """Renew a gateway's lease and learn from what its agent reports with it.
+        """Renew a gateway's lease, take in its agent's report and return the reply.
 
-        Raises NotFoundError for a gateway that is not listed, ConflictError for another agent than its own.
+        Raises NotFoundError if the gateway is not registered, ConflictError if it has another agent.
         """
         listed = self.directory.find(gateway)
         name = gateway[:MAX_QUOTED_NAME_CHARACTERS]
         if listed is None:
-            raise NotFoundError(f"{name} is not listed as a gateway")
+            raise NotFoundError(f"{name} is not registered as a gateway")
         if listed.incarnation != renewal.incarnation:
-            raise ConflictError(f"{name} is kept by {OTHER_INCARNATION_SIGN}")
+            raise ConflictError(f"{name} is managed by {OTHER_INCARNATION_SIGN}")
         self._renewal_count += 1
-        self.directory.receive(gateway, renewal)
-        self._learn_activation(renewal)
-        self._settle()
+        self.directory.store_report(gateway, renewal)
+        self._adopt_activation_time(renewal)
+        self._complete_decision()
         return self._answer(gateway)
 
     def _answer(self, gateway: str) -> LeaseAnswer:
@@ -114,14 +119,17 @@
         return change.digest if change.is_undecided else ""
 
     def _remaining_ms(self) -> int | None:
-        """Until the activation time, bounded below: how long ago it was makes no difference beyond that."""
+        """Return the milliseconds until the activation time, negative after it; None if it is unknown.
+
+        An activation more than ABSENT_AFTER_S ago is given as that long ago, which makes no difference.
+        """
         remaining_s = self.current_decision.remaining_s()
         return None if remaining_s is None else round(max(-ABSENT_AFTER_S, remaining_s) * 1000)
 
     def _is_copy_valid(self) -> bool:
-        """Whether a promoted replica may grant leases by its copy until all gateways have reported.
+        """Return whether a promoted replica may grant leases by its copy until all gateways have reported.
 
-        A decision that the copy lacks must not have been activated by the end of a lease that begins now.
+        It may while no decision that the copy lacks can be activated before a lease granted now expires.
         """
         decision = self.current_decision.get()
         if decision is None or not self.current_decision.is_recorded_as_activated():
@@ -131,7 +139,7 @@
         return is_highest and self._host.clock() + LEASE_S < first_activation_s
 
     def fleet_status(self) -> FleetStatus:
-        """All gateways and the decision that holds."""
+        """Return all gateways and the current decision."""
         is_certain = self.current_decision.is_certain()
         return FleetStatus(
             is_certain=is_certain,
@@ -143,14 +151,14 @@
     # --- replication ---
 
     async def replicate(self, upstream: Callable[[], Address]) -> None:
-        """While this registry is a replica: copy the upstream's policies, until this is cancelled."""
+        """Copy the upstream's policies while this registry is a replica, until cancelled."""
         await self.replication.keep_copying(upstream)
 
-    # --- what follows from time and from writes ---
+    # --- timed checks and completed writes ---
 
     def check(self) -> None:
-        """What the passing of time alone brings about; called each second."""
-        self._settle()
+        """Carry out what depends on time alone; called every second."""
+        self._complete_decision()
         if not self.current_decision.is_certain() or not self._host.accepts_writes():
             return
         remaining_s = self.current_decision.remaining_s()
@@ -160,35 +168,35 @@
             self._host.enqueue_internal(PutRecord(ACTIVATED_RECORD, str(number)))
 
     def batch_written(self, writes: Sequence[object], outcomes: Sequence[object]) -> None:
-        """A decision that is durable now has its activation time from here on."""
+        """Set the activation time of a durable decision, and discard the reports of removed gateways."""
         for outcome in outcomes:
             if isinstance(outcome, ConflictError):
                 self.term_decision.write_ended()
             elif isinstance(outcome, Record) and outcome.name == DECISION_RECORD:
-                self._decided(outcome.text)
+                self._decision_written(outcome.text)
             elif isinstance(outcome, Gateway) and self.directory.find(outcome.name) is None:
-                self.directory.forget(outcome.name)
+                self.directory.discard_report(outcome.name)
 
     def batch_failed(self, writes: Sequence[object]) -> None:
-        """None of these writes is durable; a decision among them is written again."""
+        """Allow a decision to be written again, as none of these writes became durable."""
         self.term_decision.write_ended()
 
-    def _decided(self, text: str) -> None:
+    def _decision_written(self, text: str) -> None:
         self.term_decision.write_ended()
         self._decision_count += 1
         self.current_decision.activate_in(self.current_decision.get().activation_delay_ms / 1000)
         log.info("policy decided: decision=%s", text)
 
-    def _learn_activation(self, renewal: PolicyLeaseRenewal) -> None:
-        """Take the activation time from an agent, after this registry was restarted since the decision."""
+    def _adopt_activation_time(self, renewal: PolicyLeaseRenewal) -> None:
+        """Adopt the activation time that an agent reports if a restart of this registry discarded it."""
         is_unknown = self.current_decision.is_certain() and self.current_decision.remaining_s() is None
         if not is_unknown or renewal.remaining_ms is msgspec.UNSET:
             return
         if renewal.number == self.current_decision.get().number:
             self.current_decision.activate_in(renewal.remaining_ms / 1000)
 
-    def _settle(self) -> None:
-        """Decide again in this term, and set an activation time that nobody knows, as soon as is possible."""
+    def _complete_decision(self) -> None:
+        """Decide again in this term, and set an unknown activation time, as soon as either is possible."""
         if not self._host.may_decide():
             return
         if not self.current_decision.is_certain():
@@ -199,7 +207,7 @@
     # --- metrics ---
 
     def metrics(self) -> dict[str, float]:
-        """Metrics by name, without the registry's prefix."""
+        """Return the metrics by name, without the registry's prefix."""
         states = [gateway.state for gateway in self.directory.statuses()]
         decision = self.current_decision.get()
         number = decision.number if decision else 0
--- a/orchidhatch/control/policy/history.py
+++ b/orchidhatch/control/policy/history.py
@@ -1,4 +1,4 @@
-"""The history of decisions: a record for each, of which the oldest are removed with their documents."""
+"""The history of decisions: one record each; the oldest are removed along with their documents."""
 
 import msgspec
 
@@ -15,11 +15,11 @@
 )
 
 MAX_HISTORY_RECORDS = 50
-ABSENT_VERSION = 0
+ABSENT_VERSION = 0  # the version of a record that does not exist
 
 
 async def record_decision(context: TaskContext, decision: Decision) -> None:
-    """Write a decision to the history, once, and remove what is too old."""
+    """Add a decision to the history unless it is there, and remove the expired records."""
     name = history_record(decision.number)
     if await context.read_record(name) is not None:
         return
@@ -32,9 +32,10 @@
 
 
 def expired_records(records: list[StoredRecord]) -> list[StoredRecord]:
-    """The history records beyond the newest, and the documents as old as them that no newer one names.
+    """Return the history records beyond the newest, and the unused documents that are as old as they are.
 
-    A younger document that no decision names stays, as it may be about to be proposed.
+    A document is unused if no remaining decision refers to it. A newer one is kept even so, as it may be
+    about to be proposed.
     """
     history = [record for record in records if record.name.startswith(HISTORY_RECORD_PREFIX)]
     history.sort(key=lambda record: record.name)
@@ -42,13 +43,13 @@
     if not expired:
         return []
     decisions = [decode_decision(record.text) for record in history[-MAX_HISTORY_RECORDS:]]
-    named = {document_record(decision.digest) for decision in decisions}
-    named |= {document_record(decision.previous_digest) for decision in decisions}
+    referenced = {document_record(decision.digest) for decision in decisions}
+    referenced |= {document_record(decision.previous_digest) for decision in decisions}
     documents = [
         record
         for record in records
         if record.name.startswith(DOCUMENT_RECORD_PREFIX)
-        and record.name not in named
+        and record.name not in referenced
         and record.version < expired[-1].version
     ]
     return expired + documents
--- a/orchidhatch/control/policy/lease_host.py
+++ b/orchidhatch/control/policy/lease_host.py
@@ -1,4 +1,4 @@
-"""What the policy leases need of the registry that they are part of."""
+"""The interface through which the policy leases use their registry."""
 
 from collections.abc import Sequence
 from typing import Protocol
@@ -9,27 +9,30 @@
 
 
 class LeaseHost(Protocol):
-    """The registry, as its policy leases see it."""
+    """The part of a registry that its policy leases use."""
 
     store: Store
 
     def clock(self) -> float:
-        """Monotonic seconds."""
+        """Return the monotonic time in seconds."""
 
     def may_decide(self) -> bool:
-        """Whether the registry accepts writes, and knows that it was not replaced."""
+        """Return whether the registry accepts writes and knows that it was not replaced."""
 
     def accepts_writes(self) -> bool:
-        """Whether the registry accepts writes."""
+        """Return whether the registry accepts writes."""
 
     def check_may_renew(self) -> None:
-        """Raise ConflictError or UnavailableError where leases may not be renewed."""
+        """Raise ConflictError or UnavailableError if leases may not be renewed."""
 
     def enqueue(self, write: ClaimsWrite, connection: Connection) -> None:
-        """Queue a client's write, which is answered with its outcome; may raise ControlError."""
+        """Queue a client's write, whose outcome is sent to the connection.
+
+        Raises ControlError if the write cannot be queued.
+        """
 
     def enqueue_internal(self, write: ClaimsWrite) -> bool:
-        """Queue a write of the registry itself; whether it is queued."""
+        """Queue a write of the registry itself, and return whether it was queued."""
 
     async def write_aside(self, writes: Sequence[ClaimsWrite]) -> None:
-        """Write what a replica keeps beside the endpoint list; raises StoreError."""
+        """Write what a replica stores apart from the endpoint list; raises StoreError if that fails."""
--- a/orchidhatch/control/policy/policy_cli.py
+++ b/orchidhatch/control/policy/policy_cli.py
@@ -1,11 +1,11 @@
-"""The operators' command line for policies.
+"""The command line for operators to manage policies.
 
     python -m orchidhatch.policy check policy.toml
     python -m orchidhatch.policy --at 127.0.0.1:8500 propose policy.toml --why "stor may have more"
     python -m orchidhatch.policy --at 127.0.0.1:8500 show
 
-Ends with 0 when it was done, 1 when the registry rejected it or does not answer, 2 when the document or the
-command line is invalid.
+The exit status is 0 on success, 1 if the registry rejects the command or does not answer, and 2 if the
+document or the command line is invalid.
 """
 
 import argparse
@@ -35,7 +35,7 @@
 
 PROGRAM = "orchidhatch.policy"
 DESCRIPTION = (
-    "Policies: plans, quotas, caps, ceilings, aims and who is banned, one document for all gateways."
+    "Manages policies: plans, quotas, limits, latency objectives and banned customers of all gateways."
 )
 EXIT_DONE = 0
 EXIT_REJECTED = 1
@@ -45,10 +45,10 @@
 def request_change(
     registry: PolicyRegistry, digest: str, options: argparse.Namespace, gate: Gate | None
 ) -> None:
-    """Ask for a change, unless one is open; with --wait, until it has ended."""
+    """Request a change unless another one is in progress; with --wait, wait until it has ended."""
     last, version = registry.last_change()
     if last is not None and not last.done:
-        raise CallError(f"{last.digest} is being put in force already: {last.state}; see show")
+        raise CallError(f"a change to {last.digest} is in progress already: {last.state}; see `show`")
     change = new_change(digest, options.by, options.why, gate, force=options.force)
     registry.put_change(change, version)
     print(f"asked for: {digest}")
@@ -57,17 +57,17 @@
 
 
 def wait_until_done(registry: PolicyRegistry, change_id: str) -> None:
-    """Print how a change ends; raises CallError where it is not in force in the end."""
+    """Wait for a change to end and print its outcome; raises CallError if its policy is not in force then."""
     ended = registry.wait_for_end(change_id)
     if ended is None:
         return
     print(format_outcome(ended))
     if not ended.is_in_force:
-        raise CallError("it is not in force")
+        raise CallError("the policy was not put in force")
 
 
 def check(registry: PolicyRegistry | None, options: argparse.Namespace) -> None:
-    """Whether a document is a valid policy, and with a registry whether it may follow what is in force."""
+    """Check that a document is a valid policy and, given a registry, that it may replace the one in force."""
     policy = read_document_file(options.file)
     if registry is not None:
         check_successor(policy, registry.policy_in_force(), options.file.name)
@@ -75,42 +75,44 @@
 
 
 def show_difference(registry: PolicyRegistry, options: argparse.Namespace) -> None:
-    """What a document would change."""
+    """Print the differences between a document and the policy in force."""
     policy = read_document_file(options.file)
-    before = registry.policy_in_force()
-    check_successor(policy, before, options.file.name)
-    print_differences(before, policy)
+    current = registry.policy_in_force()
+    check_successor(policy, current, options.file.name)
+    print_differences(current, policy)
 
 
 def propose(registry: PolicyRegistry, options: argparse.Namespace) -> None:
-    """Store a document and ask for it to be put in force."""
+    """Store a document and request that it is put in force."""
     policy = read_document_file(options.file)
-    before = registry.policy_in_force()
-    check_successor(policy, before, options.file.name)
+    current = registry.policy_in_force()
+    check_successor(policy, current, options.file.name)
     gateways = registry.fleet_status().gateways
-    print_differences(before, policy)
+    print_differences(current, policy)
     absent = [gateway.name for gateway in gateways if gateway.state is GatewayState.ABSENT]
     print(f"{len(gateways)} gateways, absent: {', '.join(absent) or 'none'}")
     error = absence_error(gateways)
     if error and not options.force:
-        raise CallError(f"{error}; --force does it all the same")
+        raise CallError(f"{error}; use --force to propose the change anyway")
     gate = Gate(for_ms=round(options.gate * 1000)) if options.gate else None
     registry.put_document(policy)
     request_change(registry, policy.digest(), options, gate)
 
 
 def undo(registry: PolicyRegistry, options: argparse.Namespace) -> None:
-    """Ask for a change to what held before: all gateways have its document still."""
+    """Request a change to the previous policy, whose document all gateways still have."""
     current = registry.fleet_status().decision
     if current is None or current.digest == current.previous_digest:
         raise CallError("nothing was changed that could be undone")
     if not current.previous_digest:
-        raise CallError("the gateways went by their own files before; propose a document that says the same")
+        raise CallError(
+            "the gateways used their own settings files before; propose a document with the same content"
+        )
     request_change(registry, current.previous_digest, options, None)
 
 
 def drop(registry: PolicyRegistry, options: argparse.Namespace) -> None:
-    """Ask for a change that is not decided yet to be ended."""
+    """Request that a change that is not decided yet is dropped."""
     last, version = registry.last_change()
     if last is None or last.done or last.state not in DROPPABLE_STATES:
         raise CallError("there is no change that could still be dropped")
@@ -120,7 +122,7 @@
 
 
 def show(registry: PolicyRegistry, options: argparse.Namespace) -> None:
-    """Which policy holds, the last change, and how each gateway is."""
+    """Print the current decision, the last change and the state of each gateway."""
     status = registry.fleet_status()
     print_decision(status)
     last, _ = registry.last_change()
@@ -131,15 +133,15 @@
 
 
 def show_history(registry: PolicyRegistry, options: argparse.Namespace) -> None:
-    """The decisions, by whom and why."""
+    """Print the recorded decisions, with who requested each one and why."""
     for decision in registry.history():
         print(format_decision(decision))
 
 
 def remove_gateway(registry: PolicyRegistry, options: argparse.Namespace) -> None:
-    """Take a gateway that is no more off the directory."""
+    """Remove a decommissioned gateway from the directory."""
     registry.remove_gateway(options.gateway)
-    print(f"{options.gateway} is no gateway any more")
+    print(f"{options.gateway} is removed")
 
 
 Handler = Callable[[PolicyRegistry, argparse.Namespace], None]
@@ -156,31 +158,33 @@
 
 
 def run_command(options: argparse.Namespace) -> None:
-    """Run one command; only a check needs no registry."""
+    """Run one command; only `check` works without a registry."""
     if options.at:
         HANDLERS[options.command](PolicyRegistry(options.at), options)
     elif options.command == "check":
         check(None, options)
     else:
-        raise CallError("--at is needed: which registry")
+        raise CallError("--at is required for this command: the address of the registry")
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """The command line."""
+    """Return the parser of the command line."""
     parser = argparse.ArgumentParser(prog=PROGRAM, description=DESCRIPTION)
     parser.add_argument("--at", metavar="HOST:PORT", help="the registry that accepts writes")
     commands = parser.add_subparsers(dest="command", required=True)
-    for name, text in (
-        ("check", "whether a document can be a policy"),
-        ("diff", "what it would change"),
-        ("propose", "have it put in force, everywhere or nowhere"),
+    for name, help_text in (
+        ("check", "check that a document is a valid policy"),
+        ("diff", "show what a document would change"),
+        ("propose", "put a document in force at all gateways or at none"),
     ):
-        commands.add_parser(name, help=text).add_argument("file", type=Path)
-    commands.add_parser("undo", help="have what held before put in force again")
-    commands.add_parser("drop", help="end a change that is not decided yet")
-    commands.add_parser("show", help="which policy holds, the last change, and how each gateway is")
-    commands.add_parser("history", help="the decisions, by whom and why")
-    commands.add_parser("remove", help="a gateway that is no more").add_argument("gateway")
+        commands.add_parser(name, help=help_text).add_argument("file", type=Path)
+    commands.add_parser("undo", help="put the previous policy in force again")
+    commands.add_parser("drop", help="drop a change that is not decided yet")
+    commands.add_parser(
+        "show", help="show the policy in force, the last change and the state of each gateway"
+    )
+    commands.add_parser("history", help="list the decisions, with who requested each one and why")
+    commands.add_parser("remove", help="remove a decommissioned gateway").add_argument("gateway")
     for name in ("propose", "undo"):
         add_change_options(commands.choices[name])
     commands.choices["propose"].add_argument(
@@ -188,21 +192,23 @@
         type=parse_duration_s,
         default=0.0,
         metavar="TIME",
-        help="undo it where more is rejected or fails for this long after the switch, as 60s",
+        help="undo the change if more requests are rejected or fail in this time after the switch, e.g. 60s",
     )
     return parser
 
 
 def add_change_options(command: argparse.ArgumentParser) -> None:
-    """The options of each command that asks for a change."""
+    """Add the options that all commands that request a change have."""
     command.add_argument("--why", required=True)
-    command.add_argument("--by", default=getpass.getuser(), help="who asks for it")
-    command.add_argument("--force", action="store_true", help="though many gateways are absent")
-    command.add_argument("--wait", action="store_true", help="until it is in force or ended")
+    command.add_argument("--by", default=getpass.getuser(), help="who requests the change")
+    command.add_argument(
+        "--force", action="store_true", help="change the policy even if many gateways are absent"
+    )
+    command.add_argument("--wait", action="store_true", help="wait until the change has ended")
 
 
 def main() -> int:
-    """Run the command; the exit status."""
+    """Run the command and return the exit status."""
     try:
         run_command(build_parser().parse_args())
     except InvalidPolicyError as error:
--- a/orchidhatch/control/policy/policy_handlers.py
+++ b/orchidhatch/control/policy/policy_handlers.py
@@ -1,4 +1,4 @@
-"""The requests about gateways and their policy leases."""
+"""HTTP request handlers for gateways and their policy leases."""
 
 from http import HTTPStatus
 
@@ -12,14 +12,17 @@
 
 
 class PolicyHandlers:
-    """The handlers of one registry. The paths call a gateway a door, as all versions do."""
+    """The request handlers of one registry.
+
+    In the paths a gateway is called `door`, for compatibility with all versions.
+    """
 
     def __init__(self, leases: GatewayPolicyLeases, host: LeaseHost) -> None:
         self._leases = leases
         self._host = host
 
     def add_routes(self, router: Router) -> None:
-        """Add all routes of this module."""
+        """Add the routes of this module to a router."""
         router.add("POST", "/doors", self._register_gateway)
         router.add("POST", "/doors/{}/renew", self._renew_lease)
         router.add("DELETE", "/doors/{}", self._remove_gateway)
--- a/orchidhatch/control/policy/policy_lease_messages.py
+++ b/orchidhatch/control/policy/policy_lease_messages.py
@@ -1,6 +1,7 @@
-"""What gateways' agents and replicas exchange with a registry about policies.
+"""Messages about policies between a registry and gateways' agents or replicas.
 
-Names and order of the fields on the wire are older than the attributes' names, and stay as they are.
+The names and the order of the fields on the wire are fixed for compatibility; they differ from the
+attributes.
 """
 
 from msgspec import UNSET, Struct, UnsetType, field
@@ -17,13 +18,13 @@
 
 
 class PolicyLeaseRenewal(Struct, frozen=True, kw_only=True):
-    """What an agent sends with each renewal of its gateway's lease.
+    """The report that an agent sends with each renewal of its gateway's lease.
 
-    `number` and `digest` are of the highest decision that the agent knows; `remaining_ms` until its
-    activation time, and the text of a document that the registry lacks, only where it knows them.
-    `active_digest` is of the document that the gateway goes by, `ready` of those that it could go by; the
-    document error is the digest of one that it cannot go by, a space and the reason. `counts` are requests by
-    how they ended: answered, deferred, errored.
+    `number` and `digest` identify the highest decision that the agent knows; `remaining_ms` is the time until
+    its activation, if the agent knows it. `document_text` is the text of a document that the registry lacks,
+    if the agent has it. `active_digest` identifies the document that the gateway applies, `ready` those that
+    it is ready to apply. `document_error` is the digest of a document that it cannot apply, a space and the
+    reason. `counts` are the numbers of requests by outcome: answered, deferred, errored.
     """
 
     incarnation: Name = field(name="life")
@@ -39,11 +40,11 @@
 
 
 class PolicyLeaseAnswer(Struct, frozen=True, kw_only=True):
-    """The answer to a renewal, with the decision that the registry knows.
+    """The reply to a renewal, with the decision that the registry knows.
 
-    `is_certain`: the decision holds, and the lease begins anew. Otherwise its activation time is not known,
-    and the lease goes on to expire. `prepare` is the digest of a document to be ready for, `requested_digest`
-    of one that the registry lacks and the agent is to send.
+    `is_certain` means that the decision is in force and the lease is extended. Otherwise the activation time
+    is unknown and the lease is not extended. `prepare` is the digest of a document to prepare, and
+    `requested_digest` that of one that the registry lacks and the agent should send.
     """
 
     is_certain: bool = field(name="sure")
@@ -56,7 +57,7 @@
 
 
 class UncertainPolicyLeaseAnswer(Struct, frozen=True, kw_only=True):
-    """The answer of a registry that may miss a decision: an agent reads it as a `PolicyLeaseAnswer`."""
+    """The reply of a registry that may lack a decision; agents decode it as a `PolicyLeaseAnswer`."""
 
     is_certain: bool = field(name="sure", default=False)
     prepare: str = ""
@@ -64,7 +65,7 @@
 
 
 class ListedGateway(Struct, frozen=True):
-    """A gateway as agents register it and replicas copy it; the incarnation is its agent's."""
+    """A gateway as registered by agents and copied by replicas; `incarnation` is that of its agent."""
 
     name: str
     incarnation: str = field(name="life")
@@ -72,7 +73,7 @@
 
 
 class PolicyCopy(Struct, frozen=True):
-    """What a replica copies of its upstream: the texts of the records, by name, and the directory."""
+    """The data that a replica copies from its upstream: record texts by name, and the gateway directory."""
 
     records: dict[str, str]
     gateways: list[ListedGateway] = field(name="doors")
--- a/orchidhatch/control/policy/policy_records.py
+++ b/orchidhatch/control/policy/policy_records.py
@@ -1,31 +1,32 @@
-"""The registry's records that hold policies, except the task of a change.
+"""The names and contents of the registry's records about policies, except for the record of a change.
 
-Names and fields are stored and sent between versions, so they never change.
+Stored record names and JSON fields are exchanged between versions, so they must never change.
 """
 
 from msgspec import UNSET, Struct, UnsetType, field
 
 from orchidhatch.control.controller.stored_json import decode_stored, encode_stored
 
-# The decision that holds.
+# The current decision.
 DECISION_RECORD = "policy.now"
 # The number of the last decision whose activation time has passed.
 ACTIVATED_RECORD = "policy.past"
-# A prefix, followed by the document's digest.
+# Followed by the document's digest.
 DOCUMENT_RECORD_PREFIX = "policy.doc-"
-# A prefix, followed by the decision's number.
+# Followed by the decision's number in hexadecimal.
 HISTORY_RECORD_PREFIX = "policy.log-"
-# The task of the last change that was requested.
+# The task of the last requested change.
 CHANGE_TASK_RECORD = "task.policy"
-# How the records begin that a replica copies from its upstream.
+# Prefixes of the names of the records that a replica copies from its upstream.
 REPLICATED_RECORD_PREFIXES = ("policy.", CHANGE_TASK_RECORD)
 
 
 class Decision(Struct, kw_only=True, frozen=True):
-    """Which policy holds, from the activation time on, and which one until then.
+    """A decision: the policy in force from the activation time on, and the previous one until then.
 
-    A digest is empty where the gateways go by their own files. A decision of higher number replaces one of a
-    lower number; the registry's term comes first in it. Decisions written by hand may lack what is optional.
+    An empty digest means that the gateways use their own settings files. A decision with a higher number
+    replaces one with a lower number; the number's upper bits are the registry's term. Decisions that were
+    written by hand may lack the optional fields.
     """
 
     number: int
@@ -41,20 +42,20 @@
 
 
 def encode_decision(decision: Decision) -> str:
-    """The text of a decision's record."""
+    """Return the record text of a decision."""
     return encode_stored(decision)
 
 
 def decode_decision(text: str) -> Decision:
-    """The decision in a record's text; raises ValueError where it is none."""
+    """Return the decision in a record's text; raises ValueError if it is malformed."""
     return decode_stored(text, Decision)
 
 
 def history_record(number: int) -> str:
-    """The name of the history record of a decision; the names sort as the numbers do."""
+    """Return the name of a decision's history record; names sort in the order of the numbers."""
     return f"{HISTORY_RECORD_PREFIX}{number:016x}"
 
 
 def document_record(digest: str) -> str:
-    """The name of the record of a document."""
+    """Return the name of a document's record."""
     return f"{DOCUMENT_RECORD_PREFIX}{digest}"
--- a/orchidhatch/control/policy/policy_replication.py
+++ b/orchidhatch/control/policy/policy_replication.py
@@ -1,4 +1,4 @@
-"""The copy of the policies and the gateway directory that a replica keeps of its upstream."""
+"""Replication of the policies and the gateway directory from an upstream to its replicas."""
 
 import asyncio
 import logging
@@ -23,10 +23,10 @@
 
 
 class PolicyReplication:
-    """Both sides of the copy: what an upstream shows, and what a replica writes.
+    """Both sides of the replication: the upstream provides a copy, and a replica writes it.
 
-    `last_copied_s` is when the last copy that was written was requested. It outlives a promotion, which
-    begins everything else anew.
+    `last_copied_s` is the time at which the last copy that was written was requested. It is kept across a
+    promotion, which resets all other state.
     """
 
     def __init__(self, host: LeaseHost, directory: GatewayDirectory) -> None:
@@ -35,15 +35,15 @@
         self._directory = directory
 
     def copy(self) -> PolicyCopy:
-        """What a replica of this registry is to have."""
-        return PolicyCopy(records=self._replicated_records(), gateways=self._directory.listed())
+        """Return the copy for a replica of this registry."""
+        return PolicyCopy(records=self._replicated_records(), gateways=self._directory.listed_gateways())
 
     async def keep_copying(self, upstream: Callable[[], Address]) -> None:
-        """Copy from the upstream until this is cancelled, which a promotion does."""
+        """Copy from the upstream at intervals until cancelled, as happens at a promotion."""
         while True:
             try:
                 await self._copy_once(upstream())
-            except Exception:  # as over an answer of another version: the next may be sound
+            except Exception:  # such as for a malformed reply of another version; the next may succeed
                 log.exception("policy copy failed unexpectedly")
             await asyncio.sleep(COPY_INTERVAL_S)
 
@@ -63,7 +63,7 @@
             self.last_copied_s = requested_s
 
     def _record_writes(self, upstream_records: Mapping[str, str]) -> Iterator[ClaimsWrite]:
-        """The writes that make the records here the upstream's."""
+        """Yield the writes that make the records here equal to the upstream's."""
         stored = self._replicated_records()
         for name in stored:
             if name not in upstream_records:
@@ -73,7 +73,7 @@
                 yield PutRecord(name, text)
 
     def _directory_writes(self, upstream_gateways: Sequence[ListedGateway]) -> Iterator[ClaimsWrite]:
-        """The writes that make the directory here the upstream's."""
+        """Yield the writes that make the directory here equal to the upstream's."""
         upstream_names = {gateway.name for gateway in upstream_gateways}
         for name in self._directory.names():
             if name not in upstream_names:
--- a/orchidhatch/control/policy/term_decision.py
+++ b/orchidhatch/control/policy/term_decision.py
@@ -1,7 +1,7 @@
-"""Decides again, in a registry's own term, what was decided before it.
+"""Repeats the last decision of an earlier term in the registry's current term.
 
-After a promotion or a rebuild a registry cannot know whether it misses a decision. It certifies none until
-every gateway that may still serve has reported the highest decision it knows; that one is then decided again.
+After a promotion or a rebuild a registry cannot know whether it lacks a decision. It confirms none until
+every gateway that may still serve has reported the highest decision that it knows, and then repeats that one.
 """
 
 import logging
@@ -23,20 +23,20 @@
 
 log = logging.getLogger("orchidhatch.policy")
 
-# Stored with the decision, and shown with it by earlier versions.
+# Stored with the decision and shown with it, also by earlier versions.
 REQUESTED_BY_REGISTRY = "list service"
-ABSENT_VERSION = 0
+ABSENT_VERSION = 0  # the version of a record that does not exist
 
 
 class KnownDecision(NamedTuple):
-    """A decision's number, by which decisions are ordered, and its document's digest."""
+    """A decision by its number, which orders decisions, and its document's digest."""
 
     number: int
     digest: str
 
 
 class TermDecision:
-    """Writes the decision of a new term. `_is_writing`: one is on its way to the store."""
+    """Writes the decision of a new term; `is_writing` says whether such a write is in progress."""
 
     def __init__(self, host: LeaseHost, current: CurrentDecision, directory: GatewayDirectory) -> None:
         self._host = host
@@ -45,29 +45,32 @@
         self.is_writing = False
 
     def restart(self) -> None:
-        """Nothing is on its way to the store, as with a new process or term."""
+        """Reset the state, as is needed for a new process or term: no write is in progress."""
         self.is_writing = False
 
     def write_ended(self) -> None:
-        """A write of ours may have succeeded or failed; nothing is lost by trying it again."""
+        """Mark the write as ended, whether it succeeded or failed; repeating it is harmless."""
         self.is_writing = False
 
     def highest_known(self) -> KnownDecision:
-        """The highest decision that is known here or to any gateway."""
+        """Return the highest decision that is known here or to any gateway."""
         decision = self._current.get()
         known = [KnownDecision(report.number, report.digest) for report in self._directory.reports()]
         stored = KnownDecision(decision.number, decision.digest) if decision else KnownDecision(0, "")
         return max([stored, *known])
 
     def requested_document(self, gateway: str) -> str:
-        """The digest of a document that must be stored before it can be decided, if this gateway has it."""
+        """Return the digest of the highest decision's document if it is missing here and this gateway has it.
+
+        Empty otherwise. The decision can only be repeated once its document is stored.
+        """
         digest = self.highest_known().digest
         report = self._directory.report_of(gateway)
         is_missing = bool(digest) and not self._has_document(digest)
         return digest if is_missing and digest in report.ready else ""
 
     def advance(self) -> None:
-        """Store a reported document that is missing, or write the decision, as soon as that is possible."""
+        """Store the missing document once a gateway sends it, or write the decision once that is possible."""
         if self._store_reported_document():
             return
         digest = self.highest_known().digest
@@ -78,7 +81,7 @@
         self.is_writing = self._host.enqueue_internal(write)
 
     def _store_reported_document(self) -> bool:
-        """Whether a gateway has sent the missing document, which is being stored now."""
+        """Store the missing document if a gateway has sent it, and return whether one has."""
         digest = self.highest_known().digest
         for report in self._directory.reports():
             text = report.document_text
@@ -109,11 +112,11 @@
         )
 
     def _previous_digest(self, digest: str) -> str:
-        """What the gateways may go by until they go by this document.
+        """Return the digest of the document that gateways may apply until they apply the one given.
 
-        If some do already, its activation time has passed, and no gateway goes by another one any more,
-        whether or not the decision had reached it. If all go by one other document, one of them may do so a
-        while longer without reaching this registry, and so they all may.
+        If some gateways already apply the given document, its activation time has passed and none may apply
+        another, whether or not the decision reached it. If all apply one other document, a gateway that
+        cannot reach this registry may apply it for a while longer, and so all of them may.
         """
         reports = map(self._directory.report_of, self._directory.names())
         active = {report.active_digest for report in reports if report is not None}
--- a/tests/control/controller/test_drain.py
+++ b/tests/control/controller/test_drain.py
@@ -21,7 +21,7 @@
         address = address_of(registry)
         assert (await call(address, "POST /entries", body(instanceId="s-1")))[0] == 200
         first = await start_controller(registry, "controller-1")
-        assert first.owned.names() == set(SHARDS)
+        assert first.owned_shards.names() == set(SHARDS)
         status, output, _ = await client(address, "drain", "s-1", "--by", "1s", "--then", "remove")
         assert status == 0 and "task.drain-s-1" in output
         assert (await client(address, "drain", "s-1", "--by", "1s"))[0] == 1  # it is being drained already
--- a/tests/control/controller/test_lease_expiry.py
+++ b/tests/control/controller/test_lease_expiry.py
@@ -30,7 +30,7 @@
         assert (await client(address, "leases", "--ended-by", "stewards"))[0] == 0
         controller = await start_controller(registry, "controller-1")
         shard = shard_of_task("task.leases")
-        late = {"claim": shard, "epoch": controller.owned.epoch_of(shard) - 1}
+        late = {"claim": shard, "epoch": controller.owned_shards.epoch_of(shard) - 1}
         now += 1.2
         assert (await call(address, "POST /leases/end", json.dumps(late).encode()))[0] == 409
         assert len(registry.lease_expiry.leases.leases) == 20
--- a/tests/control/controller/test_session.py
+++ b/tests/control/controller/test_session.py
@@ -76,15 +76,15 @@
 ) -> None:
     async with running_registry() as registry:
         controller = Controller("controller-1", [address_of(registry)], lease_ms=2000)
-        keeping = asyncio.create_task(controller.session.keep())
+        keeping = asyncio.create_task(controller.session.keep_open())
         await until(lambda: controller.session.may_act)
         # A renewal that was answered before a claim was taken drops the claim again, so once may not do.
-        while len(controller.owned) < len(SHARDS):
+        while len(controller.owned_shards) < len(SHARDS):
             await controller.balancer.rebalance()
         first_incarnation = controller.session.incarnation
         path = f"/sessions/{controller.session.holder}"
         assert (await request(registry, f"DELETE {path}", {"life": first_incarnation}))[0] == 200
-        await until(lambda: not controller.owned.names())
+        await until(lambda: not controller.owned_shards.names())
         await until(lambda: controller.session.incarnation != first_incarnation)
         keeping.cancel()
         with suppress(asyncio.CancelledError):
--- a/tests/control/controller/test_task_runner.py
+++ b/tests/control/controller/test_task_runner.py
@@ -20,7 +20,7 @@
         for name, text in (("task.drain-s-1", failing), ("task.what", {})):
             assert (await request(registry, f"POST /records/{name}", {"text": json.dumps(text)}))[0] == 200
         steps = 0
-        while len(controller.owned) == len(SHARDS):
+        while len(controller.owned_shards) == len(SHARDS):
             await controller.runner.run_once()
             steps += 1
         assert steps == 5
@@ -37,4 +37,4 @@
         assert (await request(registry, "POST /records/task.drain-s-1", {"text": json.dumps(done)}))[0] == 200
         for _ in range(6):
             await controller.runner.run_once()
-        assert len(controller.owned) == len(SHARDS) and stored_task(registry, "task.drain-s-1") == done
+        assert len(controller.owned_shards) == len(SHARDS) and stored_task(registry, "task.drain-s-1") == done
--- a/tests/control/policy/test_change.py
+++ b/tests/control/policy/test_change.py
@@ -108,8 +108,8 @@
         await fleet.work("deciding")
         number = decision_number(registry)
         late = fleet.controller
-        shard = next(iter(late.owned.names()))
-        epoch = late.owned.epoch_of(shard)
+        shard = next(iter(late.owned_shards.names()))
+        epoch = late.owned_shards.epoch_of(shard)
         path = f"/sessions/{late.session.holder}"
         await late.registry_client.call("DELETE", path, {"life": late.session.incarnation})
         fleet.controller = fleet.new_controller("controller-2")
--- a/tests/control/policy/test_change_steps.py
+++ b/tests/control/policy/test_change_steps.py
@@ -7,8 +7,8 @@
 from orchidhatch.control.policy.change_record import (
     ChangeRecord,
     ChangeState,
-    EndCounts,
     Gate,
+    OutcomeCounts,
     new_change,
 )
 from orchidhatch.control.policy.fleet_status import FleetStatus, GatewayState, GatewayStatus
@@ -51,7 +51,7 @@
         state=state,
         active_digest=active_digest,
         ready=ready,
-        counts=EndCounts(answered=10),
+        counts=OutcomeCounts(answered=10),
     )
 
 
@@ -68,7 +68,7 @@
     if state is not ChangeState.REQUESTED:
         record.base_number = BASE
         record.previous_digest = OLD
-        record.counts_before = EndCounts()
+        record.counts_before = OutcomeCounts()
     return PolicyChange(CHANGE_TASK_RECORD, 1, record)
 
 
@@ -95,7 +95,7 @@
     await change.step(context_with(fleet(decision(), gateway("a"), gateway("b"))))
     assert change.record.state is ChangeState.PREPARING
     assert (change.record.base_number, change.record.previous_digest) == (BASE, OLD)
-    assert change.record.counts_before == EndCounts(answered=20)
+    assert change.record.counts_before == OutcomeCounts(answered=20)
 
 
 async def test_requested_change_in_force_already_is_not_applied() -> None:
@@ -221,9 +221,9 @@
     """Its message says that there were too few."""
     change = change_in(ChangeState.WATCHED)
     change.record.gate = Gate(for_ms=1000)
-    change.record.counts_at_switch = EndCounts()
+    change.record.counts_at_switch = OutcomeCounts()
     change.record.remaining_ms = 0
     current = decision(BASE + 1, NEW, change.record.change_id)
     await change.step(context_with(fleet(current, gateway("a", active_digest=NEW))))
     assert (change.record.state, change.record.done) == (ChangeState.IN_FORCE, True)
-    assert "could not be judged" in change.record.message
+    assert "could not be evaluated" in change.record.message
--- a/tests/control/policy/test_document.py
+++ b/tests/control/policy/test_document.py
@@ -21,18 +21,21 @@
     ("change", "reason"),
     [
         ({"plans": []}, "plans"),
-        ({"plans": [PLAN, PLAN]}, "given twice"),
+        ({"plans": [PLAN, PLAN]}, "used more than once"),
         ({"colour": 1}, "colour"),
         ({"plans": [{**PLAN, "units-per-s": -1}]}, "units-per-s"),
         ({"plans": [{**PLAN, "burst": 0.5}]}, "burst"),
         ({"plans": [{**PLAN, "rate": 1}]}, "rate"),
         ({"plans": [{**PLAN, "units-per-s": "10"}]}, "units-per-s"),
-        ({"plans": [{**PLAN, "never-over-rate": 5, "hard-burst": 5}]}, "cannot carry"),
+        ({"plans": [{**PLAN, "never-over-rate": 5, "hard-burst": 5}]}, "is below the quota"),
         ({"plans": [{**PLAN, "never-over-rate": 50}]}, "hard-burst"),
         ({"banned": ["b4d6"]}, "banned"),
-        ({"plans": [{**PLAN, "units-per-s": 0}]}, "is needed where"),
+        ({"plans": [{**PLAN, "units-per-s": 0}]}, "is required if"),
         ({"banned": ["0" * 16] * 151}, "banned"),
-        ({"classes": [{"name": "read", "on-time-ms": 9, "deadline-ms": 5}]}, "is before"),
+        (
+            {"classes": [{"name": "read", "on-time-ms": 9, "deadline-ms": 5}]},
+            "must not be less than on-time-ms",
+        ),
         ({"plans": [{**PLAN, "name": "x" * 41}]}, "name"),
         ({"plans": {"stor": PLAN}}, "plans"),
     ],
@@ -107,7 +110,7 @@
 
 def test_successor_must_not_retire_a_plan_it_has() -> None:
     policy = parse_document(json.dumps({**LOW_BURST, "retired": ["stor"]}), "p.json")
-    with pytest.raises(InvalidPolicyError, match="retired: stor is a plan here"):
+    with pytest.raises(InvalidPolicyError, match="retired: stor is still a plan of the document"):
         check_successor(policy, None, "p.json")
 
 
--- a/tests/control/policy/test_policy_cli.py
+++ b/tests/control/policy/test_policy_cli.py
@@ -123,7 +123,7 @@
             await fleet.work("decided")
             if digest == DIGEST_A:
                 status, _, errors = await policy_command("undo", "--why", "y", registry=registry)
-                assert status == 1 and "by their own files before" in errors
+                assert status == 1 and "their own settings files before" in errors
             fleet.report(has=digest)
             clock.now += ABSENT_AFTER_S
             assert (await fleet.work())["state"] == "in force"
--- a/tests/control/policy/test_rollout_checks.py
+++ b/tests/control/policy/test_rollout_checks.py
@@ -1,32 +1,32 @@
 """What a change must not do: leave too many gateways out, or fail more requests than before."""
 
-from orchidhatch.control.policy.change_record import EndCounts, Gate
+from orchidhatch.control.policy.change_record import Gate, OutcomeCounts
 from orchidhatch.control.policy.fleet_status import GatewayState, GatewayStatus
 from orchidhatch.control.policy.rollout_checks import GateOutcome, absence_error, check_gate
 
 GATE = Gate(for_ms=1000)
-NONE_ENDED = EndCounts()
-AT_SWITCH = EndCounts(answered=500)
+NONE_ENDED = OutcomeCounts()
+AT_SWITCH = OutcomeCounts(answered=500)
 
 
 def test_gate_needs_enough_requests_without_a_restart() -> None:
-    too_few = check_gate(NONE_ENDED, AT_SWITCH, EndCounts(answered=600), GATE)
-    restarted = check_gate(NONE_ENDED, AT_SWITCH, EndCounts(answered=100), GATE)
+    too_few = check_gate(NONE_ENDED, AT_SWITCH, OutcomeCounts(answered=600), GATE)
+    restarted = check_gate(NONE_ENDED, AT_SWITCH, OutcomeCounts(answered=100), GATE)
     assert too_few.outcome is restarted.outcome is GateOutcome.TOO_FEW_REQUESTS
-    at_switch = EndCounts(answered=500, errored=5)
-    some_restarted = check_gate(NONE_ENDED, at_switch, EndCounts(answered=2000, errored=1), GATE)
+    at_switch = OutcomeCounts(answered=500, errored=5)
+    some_restarted = check_gate(NONE_ENDED, at_switch, OutcomeCounts(answered=2000, errored=1), GATE)
     assert some_restarted.outcome is GateOutcome.TOO_FEW_REQUESTS
 
 
 def test_gate_passes_if_no_more_requests_fail() -> None:
-    at_switch = EndCounts(answered=500, errored=5)
-    now = EndCounts(answered=1000, errored=10)
+    at_switch = OutcomeCounts(answered=500, errored=5)
+    now = OutcomeCounts(answered=1000, errored=10)
     assert check_gate(NONE_ENDED, at_switch, now, GATE).outcome is GateOutcome.PASSED
 
 
 def test_gate_fails_if_more_are_deferred() -> None:
     """The reason has both shares."""
-    verdict = check_gate(NONE_ENDED, AT_SWITCH, EndCounts(answered=600, deferred=400), GATE)
+    verdict = check_gate(NONE_ENDED, AT_SWITCH, OutcomeCounts(answered=600, deferred=400), GATE)
     assert verdict.outcome is GateOutcome.FAILED
     assert verdict.reason == "0.800 of the requests deferred, 0.000 before"
 
