--- a/orchidhatch/proxy/attempt.py
+++ b/orchidhatch/proxy/attempt.py
@@ -258,7 +258,7 @@
             self.abandon(self._unsent_result())
             return
         self.pool.suspect_idle_connections(self.sent_us)
-        self.pool.owner.timed_out += 1
+        self.pool.owner.attempts_timed_out += 1
         self.abandon(AttemptResult.TIMEOUT)
 
     def _unsent_result(self) -> AttemptResult:
--- a/orchidhatch/proxy/backend_connection.py
+++ b/orchidhatch/proxy/backend_connection.py
@@ -69,7 +69,7 @@
     idle_limit: IdleLimit
     read_buffer: memoryview
     tally: Counter[str]
-    sends: int
+    attempts_written: int
 
 
 class ConnectionPool(Protocol):
@@ -211,7 +211,7 @@
 
     def _command_written(self, attempt: Attempt) -> None:
         attempt.mark_written()
-        self.pool.owner.sends += 1
+        self.pool.owner.attempts_written += 1
 
     def _begin_long_value(self, attempt: Attempt) -> bool:
         """Start to stream a long value if the reply has one; return False if nobody wants the value."""
@@ -271,7 +271,7 @@
         if self.use_count > 1:
             self.pool.owner.idle_limit.record_use(self.idle_before_use_us, was_reset)
 
-    # --- ends ---
+    # --- closing ---
 
     def close(self) -> None:
         """Close a connection that has no command."""
--- a/orchidhatch/proxy/backend_pool.py
+++ b/orchidhatch/proxy/backend_pool.py
@@ -34,7 +34,7 @@
     connect_waits: WaitHistogram
     connect_timeout_s: float
     read_buffer: memoryview
-    sends: int
+    attempts_written: int
     held: int
     attempts_without_socket: int
     ejected: set[str]
@@ -136,7 +136,7 @@
             return
         self.discard(connection)
         self.connecting -= 1
-        self.connect_failed(result)
+        self.handle_failed_dial(result)
 
     async def dial(self, connection: BackendConnection) -> None:
         """Connect once. Raises OSError."""
@@ -147,7 +147,7 @@
         """Return whether dials currently fail for a reason on this machine, not the backend's."""
         return any(connection.failed_locally for connection in self.connections)
 
-    def connect_failed(self, result: AttemptResult = AttemptResult.CONNECT_FAILED) -> None:
+    def handle_failed_dial(self, result: AttemptResult = AttemptResult.CONNECT_FAILED) -> None:
         """Handle a failed dial: if attempts now outnumber dials, send one on an idle connection or end it.
 
         `result` is the outcome of an attempt that is ended.
@@ -156,7 +156,7 @@
         if len(self.waiting_attempts) <= self.connecting:
             return
         if self.owner.must_read_list_events_first(self.waiting_attempts[0]):
-            asyncio.get_running_loop().call_soon(self.connect_failed, result)
+            asyncio.get_running_loop().call_soon(self.handle_failed_dial, result)
             return
         attempt = self.waiting_attempts.popleft()
         connection = self.take_reusable_connection()
@@ -168,7 +168,7 @@
     def connection_ready(self, connection: BackendConnection) -> None:
         """Give a new connection to the attempt that has waited longest; keep any other connection as idle."""
         if not connection.is_usable():
-            self.connect_failed()  # an overloaded backend may accept a connection and close it at once
+            self.handle_failed_dial()  # an overloaded backend may accept a connection and close it at once
             return
         self._drop_ended_attempts()
         if not self.waiting_attempts or connection.use_count:
--- a/orchidhatch/proxy/backend_replies.py
+++ b/orchidhatch/proxy/backend_replies.py
@@ -36,8 +36,8 @@
     if not isinstance(text, bytes) or b"=" not in text:
         return None
     try:
-        report = read_report(part.split("=", 1) for part in text.decode().split(","))
+        report = read_report(item.split("=", 1) for item in text.decode().split(","))
     except ValueError:
         return None
-    figures = [getattr(report, field.name) for field in fields(report)]
-    return report if all(figure is None or 0 <= figure < math.inf for figure in figures) else None
+    values = [getattr(report, field.name) for field in fields(report)]
+    return report if all(value is None or 0 <= value < math.inf for value in values) else None
--- a/orchidhatch/proxy/backends.py
+++ b/orchidhatch/proxy/backends.py
@@ -81,8 +81,8 @@
         self.local_failures: Counter[str] = Counter()
         self.out_of_descriptors = 0
         self.attempts_without_socket = 0
-        self.timed_out = 0
-        self.sends = 0
+        self.attempts_timed_out = 0
+        self.attempts_written = 0
 
     # --- the endpoint list, and the operators ---
 
--- a/orchidhatch/proxy/endpoint_watch.py
+++ b/orchidhatch/proxy/endpoint_watch.py
@@ -192,7 +192,7 @@
         )
 
     def _retain_previous(self, watch: WatchConnection) -> None:
-        """Keep one of the two last watches as the previous one: the older if it is more useful."""
+        """Keep the last watch as `previous`, unless it has ended or the older one still receives data."""
         self.last_sign_of_life_s()
         previous = self.previous
         if previous and not previous.has_ended():
--- a/orchidhatch/proxy/metrics_page.py
+++ b/orchidhatch/proxy/metrics_page.py
@@ -57,7 +57,7 @@
         """Return the counts of requests, and the number of listed and ejected backends."""
         snapshot = self.dispatcher.ask(MetricsRequest())
         return self.request_metrics.text(
-            sends_total=self.backends.sends,
+            sends_total=self.backends.attempts_written,
             current=len(self.requests.open),
             cluster_size=snapshot.listed,
             cluster_unhealthy=snapshot.ejected,
--- a/orchidhatch/proxy/work_queues.py
+++ b/orchidhatch/proxy/work_queues.py
@@ -104,7 +104,7 @@
             backends.max_connections,
             len(unanswered),
             oldest_us,
-            backends.timed_out,
+            backends.attempts_timed_out,
             backends.reply_waits,
         )
 
--- a/tests/proxy/test_deadlines.py
+++ b/tests/proxy/test_deadlines.py
@@ -60,7 +60,7 @@
         sender = Sender(address)
         sender.send(b"x" * (64 << 20))  # more than the kernel takes in
         assert await sender.result() is AttemptResult.CONNECT_FAILED
-        assert sender.backends.sends == 0
+        assert sender.backends.attempts_written == 0
 
 
 async def test_attempt_past_its_deadline_is_not_written() -> None:
