--- a/orchidhatch/faults/seeded_defects.py
+++ b/orchidhatch/faults/seeded_defects.py
@@ -299,7 +299,7 @@
     from orchidhatch.gateway.slow_start import SlowStart
 
     SlowStart.has_credit = lambda self, server: True
-    ExpectedCost.of = lambda self, server: 0.0 if self.slow_start.is_warming_up(server) else 1.0
+    ExpectedCost.compute = lambda self, server: 0.0 if self.slow_start.is_warming_up(server) else 1.0
     CandidateFilter.is_full = lambda self, server: False
 
 
--- a/orchidhatch/gateway/admission.py
+++ b/orchidhatch/gateway/admission.py
@@ -61,7 +61,7 @@
         self.awaiting_grant: list[InFlightRequest] = []
         self.is_suspended = False
 
-    def on_suspend(self, event: SuspendAdmission) -> None:
+    def on_suspend_admission(self, event: SuspendAdmission) -> None:
         """Suspend or resume admission."""
         self.is_suspended = event.is_suspended
 
@@ -70,14 +70,14 @@
         customer = self.quotas.customer(customer_key(event))
         rule = self.context.settings.classes[event.class_index]
         request = InFlightRequest(event, rule, customer, self.context.now_us)
-        reason = self.entry_rejection(event)
+        reason = self.entry_rejection_reason(event)
         self.requests.add(request)
         if reason is not None:
             self.completion.end_unserved(request, reason)
         elif not self.queue.end_if_late(request, MIN_LATENCIES_LEFT_ON_ARRIVAL):
             self.admit(request)
 
-    def entry_rejection(self, event: Request) -> RejectionReason | None:
+    def entry_rejection_reason(self, event: Request) -> RejectionReason | None:
         """Return why the request is rejected without a quota decision; None if it is not."""
         if self.is_suspended:
             return RejectionReason.ADMISSION_SUSPENDED
@@ -95,12 +95,12 @@
         if chance is None:
             self.request_grant(request)
             return
-        source = QuotaDecisionSource.LOCAL_SHARE if had_local_share else self.known_source(customer)
+        source = QuotaDecisionSource.LOCAL_SHARE if had_local_share else self.local_decision_source(customer)
         self.decide(request, chance, source)
         if had_local_share and not customer.shares_slots():  # A slot request reports the demand too.
             self.quotas.report_demand(customer)
 
-    def known_source(self, customer: Customer) -> QuotaDecisionSource:
+    def local_decision_source(self, customer: Customer) -> QuotaDecisionSource:
         """Return what a decision on the quota of the whole gateway set is based on without a new answer."""
         if customer.is_leader:
             return QuotaDecisionSource.LEADER
@@ -146,32 +146,32 @@
     def on_grant_answer(self, answer: GrantAnswer | None) -> None:
         """Handle a quota leader's answer; None if it answers no grant request that is still open."""
         if answer is not None:
-            self.decide_answered(answer)
-        self.decide_unanswered()
+            self.decide_by_answer(answer)
+        self.handle_overdue()
         self.queue.dequeue()
 
-    def decide_answered(self, answer: GrantAnswer) -> None:
+    def decide_by_answer(self, answer: GrantAnswer) -> None:
         """Decide on the request that the answer is for, unless its client has disconnected.
 
         The leader has counted the units, so they are returned if the client has disconnected.
         """
-        request = self.take_awaiting(answer.grant)
+        request = self.pop_awaiting(answer.grant)
         if request is None:
             return
         self.outbox.tally[GRANTS_ANSWERED] += 1
-        if request.is_answered:
+        if request.is_closed:
             answer.grant.spent = 0.0
             self.quotas.return_soon(request.customer)
         else:
             self.decide(request, answer.chance, QuotaDecisionSource.GRANT_ANSWER)
 
-    def decide_unanswered(self) -> None:
+    def handle_overdue(self) -> None:
         """Repeat the grant requests whose wait has expired, or decide without an answer."""
-        for request in self.take_overdue():
-            if not request.is_answered and self.may_request_again(request):
+        for request in self.pop_overdue():
+            if not request.is_closed and self.may_request_again(request):
                 self.request_grant(request)
                 continue
-            if not request.is_answered:
+            if not request.is_closed:
                 self.decide_without_answer(request)
             if request.grant is not None:
                 spent = request.units if request.is_in_quota else 0.0
@@ -196,14 +196,14 @@
         wait_end_us = self.context.now_us + LEADER_REPLY_TIMEOUT_US + MIN_TICKS_AFTER_GRANT_WAIT * TICK_US
         return wait_end_us < request.deadline_us
 
-    def take_awaiting(self, grant: GrantRequest) -> InFlightRequest | None:
+    def pop_awaiting(self, grant: GrantRequest) -> InFlightRequest | None:
         """Remove and return the request that waits for the grant; None if it no longer waits."""
         for index, request in enumerate(self.awaiting_grant):
             if request.grant is grant:
                 return self.awaiting_grant.pop(index)
         return None
 
-    def take_overdue(self) -> list[InFlightRequest]:
+    def pop_overdue(self) -> list[InFlightRequest]:
         """Remove and return the requests whose wait for a grant has expired."""
         now_us = self.context.now_us
         overdue = [request for request in self.awaiting_grant if request.decide_at_us <= now_us]
--- a/orchidhatch/gateway/attempt_averages.py
+++ b/orchidhatch/gateway/attempt_averages.py
@@ -41,8 +41,8 @@
         ratio = latency_us / self.reference_latency_us(class_index)
         sample = min(MAX_RELATIVE_LATENCY, max(MIN_RELATIVE_LATENCY, ratio))
         server.relative_latency = decay_towards(server.relative_latency, sample, SAMPLE_WEIGHT)
-        mean_us = self.mean_latencies_us[class_index]
-        self.mean_latencies_us[class_index] = decay_towards(mean_us, latency_us, SAMPLE_WEIGHT)
+        mean_latency_us = self.mean_latencies_us[class_index]
+        self.mean_latencies_us[class_index] = decay_towards(mean_latency_us, latency_us, SAMPLE_WEIGHT)
 
     def decay(self, server: ServerRecord) -> None:
         """Move a server's relative latency towards neutral, so that a slow server is eventually reused."""
--- a/orchidhatch/gateway/attempt_control.py
+++ b/orchidhatch/gateway/attempt_control.py
@@ -53,8 +53,8 @@
         if event.result is AttemptResult.NOT_SENT and event.attempt == 0:
             self.completion.refund_quota(request)
             request.customer.refund_ceiling(request.units)
-        self.note_whether_run(request, event.result)
-        if event.is_final or request.is_answered:
+        self.record_whether_run(request, event.result)
+        if event.is_final or request.is_closed:
             self.completion.release(request)
         elif not request.attempts and not self.retry(request, event.result):
             self.completion.end_unserved(request, event.result)
@@ -64,14 +64,14 @@
     def on_stream_started(self, event: StreamStarted) -> None:
         """Handle the start of a streamed answer: the server is done, and the rest depends on the client."""
         request = self.requests.get(event.id)
-        if request is None or event.attempt not in request.attempts or request.is_answered:
+        if request is None or event.attempt not in request.attempts or request.is_closed:
             return
         request.is_streaming = True
         server = request.servers[event.attempt]
         self.requests.close(request)
         self.free_server(server, request, event.attempt)
         served = AttemptEnded(event.id, True, event.attempt, event.server, AttemptResult.OK, event.latency_us)
-        self.learning.learn(request, server, served)
+        self.learning.record_attempt(request, server, served)
 
     def free_attempt(self, request: InFlightRequest, event: AttemptEnded) -> None:
         """Remove an ended attempt from its customer and server, and record its result.
@@ -86,14 +86,14 @@
         if not request.is_streaming:
             self.free_server(server, request, event.attempt)
         if not request.is_streaming or event.result is not AttemptResult.OK:
-            self.learning.learn(request, server, event)
+            self.learning.record_attempt(request, server, event)
 
     def free_server(self, server: ServerRecord, request: InFlightRequest, number: int) -> None:
         """Count the attempt as no longer in flight at the server."""
         self.overload.in_flight -= 1
         self.balancer.attempt_ended(server, (request.id, number))
 
-    def note_whether_run(self, request: InFlightRequest, result: AttemptResult) -> None:
+    def record_whether_run(self, request: InFlightRequest, result: AttemptResult) -> None:
         """Count an attempt that has not run; if none of them has, the request is bound to no server."""
         if result in NOT_RUN_RESULTS:
             request.unrun_attempts += 1
@@ -106,7 +106,7 @@
             return False
         server = self.balancer.choose(request)
         if server is not None:
-            self.retries.spend(result)
+            self.retries.charge_retry(result)
             self.sender.send(request, server)
             return True
         if request.first_server is None:
@@ -117,11 +117,11 @@
     def overdue_ages(self) -> list[float]:
         """Return the ages of attempts slower than the mean, as fractions of the latency objective up to 1."""
         now_us = self.context.now_us
-        mean_us = self.balancer.mean_us
+        mean_latencies_us = self.balancer.mean_latencies_us
         return [
             min(1.0, (now_us - sent_us) / request.rule.latency_objective_us)
             for request in self.requests
             if not request.is_streaming
             for sent_us in request.attempts.values()
-            if now_us - sent_us > mean_us[request.class_index]
+            if now_us - sent_us > mean_latencies_us[request.class_index]
         ]
--- a/orchidhatch/gateway/attempt_learning.py
+++ b/orchidhatch/gateway/attempt_learning.py
@@ -31,7 +31,7 @@
         self.balancer = balancer
         self.outbox = outbox
 
-    def learn(self, request: InFlightRequest, server: ServerRecord, event: AttemptEnded) -> None:
+    def record_attempt(self, request: InFlightRequest, server: ServerRecord, event: AttemptEnded) -> None:
         """Record an attempt of this gateway that has ended, or whose streamed answer has begun."""
         result = event.result
         has_latency = result in RESULTS_WITH_LATENCY
@@ -44,7 +44,7 @@
             self.outbox.add_observation(
                 AttemptObservation(server.checksum, request.class_index, succeeded, relative_latency)
             )
-        self.balancer.learn(server, request.class_index, event, reported_load(report))
+        self.balancer.record_attempt(server, request.class_index, event, reported_load(report))
         settings = self.context.settings
         if (
             result is AttemptResult.OK
@@ -56,11 +56,11 @@
         if has_latency:
             self.overload.observe(OccupancySignal.LATENCY, min(1.0, relative_latency))
 
-    def learn_from_peer(self, observations: Iterable[AttemptObservation]) -> None:
+    def record_peer_observations(self, observations: Iterable[AttemptObservation]) -> None:
         """Record the results of another gateway's attempts."""
         classes = self.context.settings.classes
         for observation in observations:
-            server = self.balancer.index.with_checksum(observation.server_checksum)
+            server = self.balancer.index.find_by_checksum(observation.server_checksum)
             if server is None or observation.class_index >= len(classes):
                 continue
             relative_latency = observation.relative_latency
--- a/orchidhatch/gateway/attempt_sender.py
+++ b/orchidhatch/gateway/attempt_sender.py
@@ -36,7 +36,7 @@
         is_first = number == 0
         if is_first:
             self.overload.admitted_this_period += 1
-            self.retries.earn()
+            self.retries.credit_first_attempt()
             customer.charge_ceiling(request.units)
         request.servers.append(server)
         request.attempts[number] = now_us
@@ -47,14 +47,14 @@
             self.quotas.use_slot(customer)
         server.credit -= 1
 
-        name = server.endpoint.name
+        server_name = server.endpoint.name
         timeout_us = self.retries.timeout_us(request)
         start_within_us = self.retries.start_within_us(request)
-        self.context.actions.append(SendAttempt(request.id, name, timeout_us, start_within_us))
+        self.context.actions.append(SendAttempt(request.id, server_name, timeout_us, start_within_us))
         if request.first_server is None:
             request.first_server = server
             request.first_sent_us = now_us
         ceiling_units = request.units if is_first else 0.0
         self.context.send_to_handover_peer(
-            HandoverAttempt(customer.key, request.id, number, name, now_us, ceiling_units)
+            HandoverAttempt(customer.key, request.id, number, server_name, now_us, ceiling_units)
         )
--- a/orchidhatch/gateway/bounded_map.py
+++ b/orchidhatch/gateway/bounded_map.py
@@ -14,7 +14,7 @@
     excess = len(entries) - limit
     if excess <= 0:
         return
-    spare = [key for key in entries if key not in kept]
-    spare.sort(key=entries.__getitem__)
-    for key in spare[:excess]:
+    removable = [key for key in entries if key not in kept]
+    removable.sort(key=entries.__getitem__)
+    for key in removable[:excess]:
         del entries[key]
--- a/orchidhatch/gateway/candidates.py
+++ b/orchidhatch/gateway/candidates.py
@@ -12,7 +12,7 @@
 from orchidhatch.gateway.decision_context import DecisionContext
 from orchidhatch.gateway.in_flight import InFlightRequest
 from orchidhatch.gateway.outlier_detection import OutlierDetector
-from orchidhatch.gateway.server_index import ServerIndex, Without
+from orchidhatch.gateway.server_index import ServerIndex, ServersExcept
 from orchidhatch.gateway.server_record import ServerRecord
 from orchidhatch.gateway.settings import DeduplicationScope, Idempotency
 from orchidhatch.gateway.slow_start import SlowStart
@@ -50,12 +50,12 @@
         """Return the servers that an attempt of the request may go to, in the order of the list."""
         may_have_run = request.first_server is not None
         if may_have_run and request.rule.idempotency is not Idempotency.SAFE:
-            return self.within_scope(request)
+            return self.candidates_in_scope(request)
         if len(self.index.warming) + len(self.index.unhealthy) > MAX_INSPECTED_SERVERS:
-            return self.within_sample(request)
-        return self.within_index(request)
+            return self.candidates_in_sample(request)
+        return self.candidates_in_index(request)
 
-    def within_index(self, request: InFlightRequest) -> Sequence[ServerRecord]:
+    def candidates_in_index(self, request: InFlightRequest) -> Sequence[ServerRecord]:
         """Return the candidates among all servers, inspecting only those that the index marks.
 
         Idle servers in slow start come first: one gateway has few attempts in flight at any server, so a
@@ -77,7 +77,9 @@
                 return connected
         if not unavailable:
             return index.up
-        return Without(index.up, [index.position(server) for server in unavailable if index.is_up(server)])
+        return ServersExcept(
+            index.up, [index.position(server) for server in unavailable if index.is_up(server)]
+        )
 
     def _excluded(self, request: InFlightRequest) -> set[ServerRecord]:
         """Return the servers up that are excluded for a request; none if that would exclude all of them."""
@@ -89,7 +91,7 @@
         }
         return set() if len(excluded) == len(index.up) else excluded
 
-    def within_sample(self, request: InFlightRequest) -> Sequence[ServerRecord]:
+    def candidates_in_sample(self, request: InFlightRequest) -> Sequence[ServerRecord]:
         """Return the candidates in a random sample, for when many servers are ejected or warming up."""
         up = self.index.up
         sample = self.context.random.sample(up, min(MAX_INSPECTED_SERVERS, len(up)))
@@ -101,24 +103,24 @@
                 if not self.is_excluded(request, server) and self.is_available(server)
             ]
 
-        return self._preferred(self._inspect(request, sample), connected)
+        return self._select_preferred(self._filter_available(request, sample), connected)
 
-    def within_scope(self, request: InFlightRequest) -> Sequence[ServerRecord]:
+    def candidates_in_scope(self, request: InFlightRequest) -> Sequence[ServerRecord]:
         """Return the candidates for a retry that may only go to some servers, inspecting each of them."""
         allowed = [server for server in self.index.up if self.is_in_scope(request, server)]
-        available = self._inspect(request, allowed)
+        available = self._filter_available(request, allowed)
 
         def connected() -> list[ServerRecord]:
             return [server for server in available if self.affinity.has_connection(server)]
 
-        return self._preferred(available, connected)
+        return self._select_preferred(available, connected)
 
-    def _inspect(self, request: InFlightRequest, servers: list[ServerRecord]) -> list[ServerRecord]:
+    def _filter_available(self, request: InFlightRequest, servers: list[ServerRecord]) -> list[ServerRecord]:
         """Return the available servers that are not excluded, or all available ones if all are excluded."""
         not_excluded = [server for server in servers if not self.is_excluded(request, server)]
         return [server for server in not_excluded or servers if self.is_available(server)]
 
-    def _preferred(
+    def _select_preferred(
         self, available: list[ServerRecord], connected: Callable[[], list[ServerRecord]]
     ) -> list[ServerRecord]:
         """Return idle servers in slow start if any; else connected ones if preferred; else all available."""
--- a/orchidhatch/gateway/core.py
+++ b/orchidhatch/gateway/core.py
@@ -45,7 +45,7 @@
         self.balancer = LoadBalancer(context)
         self.membership = Membership(context, self.balancer)
         self.outbox = PeerOutbox(context)
-        self.quotas = QuotaLeaders(context, self.outbox, self.queues_unsent)
+        self.quotas = QuotaLeaders(context, self.outbox, self.has_unsent_request)
         self.handover_peer = HandoverPeer(context, self.balancer, self.membership, self.quotas, self.overload)
         self.retries = RetryPolicy(context, self.balancer)
         self.retry_after = RetryAfter(context, self.balancer, self.overload)
@@ -89,9 +89,9 @@
             self.counters,
         )
         self.timer_due_us = NEVER
-        self.handlers = self.event_handlers()
+        self.handlers = self.build_event_handlers()
 
-    def event_handlers(self) -> dict[type, Callable[[Any], None]]:
+    def build_event_handlers(self) -> dict[type, Callable[[Any], None]]:
         """Return the handler of each event type that the core acts on."""
         return {
             events.Request: self.admission.on_request,
@@ -102,14 +102,14 @@
             events.PeerMessage: self.on_peer_message,
             events.MetricsRequest: self.on_metrics_request,
             events.PolicyChange: self.on_policy_change,
-            events.SuspendAdmission: self.admission.on_suspend,
-            events.EndpointList: self.membership.on_list,
+            events.SuspendAdmission: self.admission.on_suspend_admission,
+            events.EndpointList: self.membership.on_endpoint_list,
             events.SetEjection: self.membership.on_set_ejection,
             snapshots.HandoverEjection: self.membership.set_ejection,
             events.StartHandover: lambda _: self.handover_peer.hand_over(self.requests),
             snapshots.GatewaySnapshot: self.handover_peer.on_snapshot,
-            events.HandoverPeerGone: self.handover_peer.on_gone,
-            events.HandoverPeerUnknown: self.handover_peer.on_unknown,
+            events.HandoverPeerGone: self.handover_peer.on_peer_gone,
+            events.HandoverPeerUnknown: self.handover_peer.on_peer_unknown,
             snapshots.HandoverSpend: self.handover_peer.on_spend,
             snapshots.HandoverAttempt: self.handover_peer.on_attempt,
             snapshots.HandoverAttemptEnd: self.handover_peer.on_attempt_end,
@@ -155,13 +155,13 @@
         next_tick_us = self.context.now_us + TICK_US
         if self.queue.entries or self.quotas.slot_queues:
             return next_tick_us
-        dues_us = [
+        due_times_us = [
             self.overload.period_start_us + self.overload.period_length_us,
             *self.quotas.dues(),
             *self.outbox.dues(),
             *[request.decide_at_us for request in self.admission.awaiting_grant],
         ]
-        return max(next_tick_us, math.ceil(min(dues_us)))
+        return max(next_tick_us, math.ceil(min(due_times_us)))
 
     def on_timer(self, _: events.TimerExpired) -> None:
         """Do the work that is due; a timer that was replaced by an earlier one is ignored."""
@@ -172,7 +172,7 @@
         while now_us - self.overload.period_start_us >= self.overload.period_length_us:
             self.end_period()
         self.context.actions += self.metrics.wait_times()
-        self.admission.decide_unanswered()
+        self.admission.handle_overdue()
         self.queue.expire()
         self.queue.dequeue()
         self.quotas.renew()
@@ -181,7 +181,7 @@
     def end_period(self) -> None:
         """End the control period and begin the next."""
         self.overload.end_period()
-        self.balancer.end_period(self.overload.rate, self.overload.period_length_us)
+        self.balancer.end_period(self.overload.admissions_per_s, self.overload.period_length_us)
         self.quotas.forget_idle()
         self.overload.begin_period(len(self.balancer.up), self.attempts.overdue_ages)
         self.context.actions += self.metrics.log_lines()
@@ -191,7 +191,7 @@
     def on_peer_message(self, event: events.PeerMessage) -> None:
         """Record a peer's observations, and handle its gossip messages if it runs under the same policy."""
         self.outbox.tally[MESSAGES_RECEIVED] += 1
-        self.learning.learn_from_peer(event.observations)
+        self.learning.record_peer_observations(event.observations)
         if event.policy_mark == self.settings.policy_mark:
             self.quotas.on_messages(event.sender, event.messages, self.admission.on_grant_answer)
 
@@ -204,6 +204,6 @@
         """Reply with a MetricsSnapshot."""
         self.context.actions.append(self.metrics.snapshot())
 
-    def queues_unsent(self, customer: Customer) -> bool:
+    def has_unsent_request(self, customer: Customer) -> bool:
         """Return whether a request of the customer that was never sent is queued here."""
         return self.queue.has_unsent(customer)
--- a/orchidhatch/gateway/expected_cost.py
+++ b/orchidhatch/gateway/expected_cost.py
@@ -36,7 +36,7 @@
         self.outliers = outliers
         self.slow_start = slow_start
 
-    def of(self, server: ServerRecord) -> float:
+    def compute(self, server: ServerRecord) -> float:
         """Return the expected cost of an attempt at the server now; 0 if a recovery probe is due."""
         connection_cost = self.affinity.connection_cost(server)
         queue_length = 0 if server.needs_probe else len(server.in_flight) + 1
--- a/orchidhatch/gateway/handover.py
+++ b/orchidhatch/gateway/handover.py
@@ -69,7 +69,7 @@
         for customer in customers:
             customer.reclaim_ceded_ceiling(context.now_us)
         snapshot = take_snapshot(
-            context, self.overload, self.balancer, customers, self.membership.names, requests
+            context, self.overload, self.balancer, customers, self.membership.ejected_by_name, requests
         )
         context.actions.append(snapshot)
         context.has_successor = True
@@ -113,39 +113,39 @@
 
     def on_attempt(self, event: HandoverAttempt) -> None:
         """Count an attempt of the other process, once, against rate ceilings, limits and slow start."""
-        name = (event.id, event.attempt)
-        if not self.quotas.is_in_set(event.key) or name in self.in_flight:
+        attempt_key = (event.id, event.attempt)
+        if not self.quotas.is_in_set(event.key) or attempt_key in self.in_flight:
             return
         customer = self.quotas.customer(event.key)
         server = self.balancer.servers.get(event.server)
-        self.in_flight[name] = PeerAttempt(customer, server)
+        self.in_flight[attempt_key] = PeerAttempt(customer, server)
         customer.charge_ceiling(event.units)
         customer.attempt_began()
         self.overload.in_flight += 1
         if event.units > 0:
             self.overload.admitted_this_period += 1
         if server:
-            self.balancer.attempt_began(server, name, event.sent_us)
+            self.balancer.attempt_began(server, attempt_key, event.sent_us)
             server.credit -= 1
 
     def on_attempt_end(self, event: HandoverAttemptEnd) -> None:
         """Count an attempt of the other process as no longer in flight, if it was."""
-        name = (event.id, event.attempt)
-        if name not in self.in_flight:
+        attempt_key = (event.id, event.attempt)
+        if attempt_key not in self.in_flight:
             return
-        attempt = self.in_flight.pop(name)
+        attempt = self.in_flight.pop(attempt_key)
         attempt.customer.attempt_ended()
         self.overload.in_flight -= 1
         if attempt.server:
-            self.balancer.attempt_ended(attempt.server, name)
+            self.balancer.attempt_ended(attempt.server, attempt_key)
 
     # --- presence of the other process ---
 
-    def on_unknown(self, _: HandoverPeerUnknown) -> None:
+    def on_peer_unknown(self, _: HandoverPeerUnknown) -> None:
         """Hold back requests under a rate ceiling, as another process may be using it up."""
         self.context.peer_is_unknown = True
 
-    def on_gone(self, _: HandoverPeerGone) -> None:
+    def on_peer_gone(self, _: HandoverPeerGone) -> None:
         """Handle the end of the other process, which ends its attempts too.
 
         If it was the successor, this process reports what was left for it to report, if still possible. If it
@@ -153,7 +153,7 @@
         """
         self.context.has_handover_peer = False
         if self.context.has_successor:
-            self.take_back_reports()
+            self.resume_reporting()
         if self.context.peer_is_unknown:
             self.context.peer_is_unknown = False
             for customer in self.quotas.customers.values():
@@ -161,7 +161,7 @@
         for request_id, attempt in list(self.in_flight):
             self.on_attempt_end(HandoverAttemptEnd(request_id, attempt))
 
-    def take_back_reports(self) -> None:
+    def resume_reporting(self) -> None:
         """Resume reporting in new report streams, as the successor may have continued the previous ones."""
         self.context.has_successor = False
         for customer in self.quotas.customers.values():
--- a/orchidhatch/gateway/handover_codec.py
+++ b/orchidhatch/gateway/handover_codec.py
@@ -19,11 +19,11 @@
     HandoverSpend,
 )
 
-TEXT_LIMIT = 256
+MAX_TEXT_LENGTH = 256
 """Maximum characters of one text."""
-ROWS_LIMIT = 100_000
+MAX_LIST_LENGTH = 100_000
 """Maximum items of one list."""
-WHOLE_LIMIT = 1 << 63
+INTEGER_BOUND = 1 << 63
 """Exclusive bound of the absolute value of an integer."""
 
 MESSAGE_KINDS: dict[str, type[HandoverMessage]] = {
@@ -34,7 +34,7 @@
 }
 """The messages between the two processes by wire name; the names are those of an earlier version."""
 
-MESSAGE_NAMES = {kind: name for name, kind in MESSAGE_KINDS.items()}
+MESSAGE_NAMES = {record_type: name for name, record_type in MESSAGE_KINDS.items()}
 
 
 def to_plain(value: object) -> object:
@@ -44,24 +44,28 @@
     return [to_plain(item) for item in value] if isinstance(value, tuple) else value
 
 
-def from_plain(kind: Any, value: object) -> Any:  # noqa: ANN401 - returns whatever type is requested
+def from_plain(expected_type: Any, value: object) -> Any:  # noqa: ANN401 - returns whatever type is requested
     """Reverse `to_plain`. Raises ValueError if a value is not of its field's type."""
-    if kind is float and is_number(value) and math.isfinite(value):
+    if expected_type is float and is_number(value) and math.isfinite(value):
         return float(value)
-    if kind is int and type(value) is int and abs(value) < WHOLE_LIMIT:
+    if expected_type is int and type(value) is int and abs(value) < INTEGER_BOUND:
         return value
-    if kind is bool and isinstance(value, bool):
+    if expected_type is bool and isinstance(value, bool):
         return value
-    if kind is str and isinstance(value, str) and len(value) <= TEXT_LIMIT:
+    if expected_type is str and isinstance(value, str) and len(value) <= MAX_TEXT_LENGTH:
         return value
-    if isinstance(value, list) and get_origin(kind) is tuple and len(value) <= ROWS_LIMIT:
-        item_kind = get_args(kind)[0]
-        return tuple([from_plain(item_kind, item) for item in value])
-    if isinstance(value, list) and kind not in (float, int, bool, str) and get_origin(kind) is None:
-        kinds = field_kinds(kind)
-        if len(kinds) == len(value):
-            return kind(*map(from_plain, kinds, value))
-    raise ValueError(f"{value!r:.40} is no {kind}")
+    if isinstance(value, list) and get_origin(expected_type) is tuple and len(value) <= MAX_LIST_LENGTH:
+        item_type = get_args(expected_type)[0]
+        return tuple([from_plain(item_type, item) for item in value])
+    if (
+        isinstance(value, list)
+        and expected_type not in (float, int, bool, str)
+        and get_origin(expected_type) is None
+    ):
+        types = required_field_types(expected_type)
+        if len(types) == len(value):
+            return expected_type(*map(from_plain, types, value))
+    raise ValueError(f"{value!r:.40} is not of type {expected_type}")
 
 
 def optional_to_plain(record: Any) -> dict[str, object]:  # noqa: ANN401 - any record
@@ -71,12 +75,12 @@
     return {field.name: to_plain(value) for field, value in values if value != field.default}
 
 
-def from_plain_with_optional(kind: Any, value: object, optional: Mapping[str, object]) -> Any:  # noqa: ANN401
+def from_plain_with_optional(record_type: Any, value: object, optional: Mapping[str, object]) -> Any:  # noqa: ANN401
     """Reverse `to_plain` and `optional_to_plain`; unknown names are ignored."""
-    record = from_plain(kind, value)
-    kinds = optional_kinds(kind)
+    record = from_plain(record_type, value)
+    types = optional_field_types(record_type)
     return replace(
-        record, **{name: from_plain(kinds[name], optional[name]) for name in kinds if name in optional}
+        record, **{name: from_plain(types[name], optional[name]) for name in types if name in optional}
     )
 
 
@@ -91,15 +95,15 @@
 
 
 @cache
-def field_kinds(kind: type) -> tuple[Any, ...]:
+def required_field_types(record_type: type) -> tuple[Any, ...]:
     """Return the types of a record's fields, in order; of a dataclass only those without default."""
-    hints = get_type_hints(kind)
-    optional = optional_kinds(kind) if is_dataclass(kind) else {}
+    hints = get_type_hints(record_type)
+    optional = optional_field_types(record_type) if is_dataclass(record_type) else {}
     return tuple([hint for name, hint in hints.items() if name not in optional])
 
 
 @cache
-def optional_kinds(kind: type) -> dict[str, Any]:
+def optional_field_types(record_type: type) -> dict[str, Any]:
     """Return the types of the fields with a default, by name."""
-    hints = get_type_hints(kind)
-    return {field.name: hints[field.name] for field in fields(kind) if is_optional(field)}
+    hints = get_type_hints(record_type)
+    return {field.name: hints[field.name] for field in fields(record_type) if is_optional(field)}
--- a/orchidhatch/gateway/handover_state.py
+++ b/orchidhatch/gateway/handover_state.py
@@ -22,16 +22,16 @@
 )
 from orchidhatch.gateway.spent_totals import ReceivedTotal, StreamPosition
 
-GRANT_REQUESTS_LIMIT = 10_000
+MAX_SNAPSHOT_GRANT_REQUESTS = 10_000
 """Maximum number of grant requests handed over, the latest ones; about 80 bytes each."""
 
-COUNTED_GRANTS_LIMIT = 10_000
+MAX_SNAPSHOT_COUNTED_GRANTS = 10_000
 """Maximum number of grants counted for other gateways that are handed over, the latest ones."""
 
-REPORT_STREAMS_LIMIT = 10_000
+MAX_SNAPSHOT_REPORT_STREAMS = 10_000
 """Maximum number of report streams handed over, those of the customers seen last."""
 
-RECEIVED_TOTALS_LIMIT = 10_000
+MAX_SNAPSHOT_RECEIVED_TOTALS = 10_000
 """Maximum number of spent totals of other gateways handed over, the latest ones."""
 
 
@@ -48,7 +48,7 @@
     return GatewaySnapshot(
         now_us=context.now_us,
         overload=snapshot_overload(overload, balancer),
-        mean_latencies_us=tuple(balancer.mean_us),
+        mean_latencies_us=tuple(balancer.mean_latencies_us),
         customers=tuple(customer.snapshot() for customer in customers),
         servers=tuple(server.snapshot() for server in balancer.servers.values()),
         ejections=tuple(ejections),
@@ -68,7 +68,7 @@
         period_start_us=overload.period_start_us,
         period_length_us=overload.period_length_us,
         overhead=overload.overhead,
-        attempts_per_s=overload.rate,
+        attempts_per_s=overload.admissions_per_s,
         usual_attempts_per_s=balancer.slow_start.usual_rate,
     )
 
@@ -95,7 +95,7 @@
         for grant in customer.grant_requests.in_use(now_us)
     ]
     requests.sort(key=lambda request: request.opened_us)
-    return tuple(requests[-GRANT_REQUESTS_LIMIT:])
+    return tuple(requests[-MAX_SNAPSHOT_GRANT_REQUESTS:])
 
 
 def latest_counted_grants(customers: Iterable[Customer], now_us: int) -> tuple[CountedGrantSnapshot, ...]:
@@ -113,7 +113,7 @@
         for (peer, number), grant in customer.counted_grants.known(now_us)
     ]
     grants.sort(key=lambda grant: grant.counted_us)
-    return tuple(grants[-COUNTED_GRANTS_LIMIT:])
+    return tuple(grants[-MAX_SNAPSHOT_COUNTED_GRANTS:])
 
 
 def latest_report_streams(customers: Iterable[Customer]) -> tuple[ReportStreamSnapshot, ...]:
@@ -123,7 +123,7 @@
         for customer in customers
         if customer.report_stream.position is not None
     ]
-    return tuple(streams[-REPORT_STREAMS_LIMIT:])
+    return tuple(streams[-MAX_SNAPSHOT_REPORT_STREAMS:])
 
 
 def latest_received_totals(customers: Iterable[Customer]) -> tuple[ReceivedTotalSnapshot, ...]:
@@ -134,7 +134,7 @@
         for peer, total in customer.received_totals.by_peer.items()
     ]
     totals.sort(key=lambda total: total.received_us)
-    return tuple(totals[-RECEIVED_TOTALS_LIMIT:])
+    return tuple(totals[-MAX_SNAPSHOT_RECEIVED_TOTALS:])
 
 
 def restore_totals(customers: Mapping[CustomerKey, Customer], snapshot: GatewaySnapshot) -> None:
@@ -174,15 +174,15 @@
     overload.period_start_us = snapshot.period_start_us
     overload.period_length_us = snapshot.period_length_us
     overload.overhead = snapshot.overhead
-    overload.rate = snapshot.attempts_per_s
+    overload.admissions_per_s = snapshot.attempts_per_s
 
 
 def restore_servers(balancer: LoadBalancer, snapshot: GatewaySnapshot) -> None:
     """Restore the predecessor's state of the servers that are listed here too."""
     balancer.slow_start.usual_rate = snapshot.overload.usual_attempts_per_s
     # The predecessor may have run with different request classes.
-    if len(snapshot.mean_latencies_us) == len(balancer.mean_us):
-        balancer.mean_us = list(snapshot.mean_latencies_us)
+    if len(snapshot.mean_latencies_us) == len(balancer.mean_latencies_us):
+        balancer.mean_latencies_us = list(snapshot.mean_latencies_us)
     for server_snapshot in snapshot.servers:
         server = balancer.servers.get(server_snapshot.name)
         if server:
--- a/orchidhatch/gateway/in_flight.py
+++ b/orchidhatch/gateway/in_flight.py
@@ -22,7 +22,7 @@
         self.arrived_us = now_us
         self.deadline_us = now_us + request.time_left_us
         sent_us = now_us - request.unread_us
-        self.objective_us = min(sent_us + rule.latency_objective_us, self.deadline_us)
+        self.objective_due_us = min(sent_us + rule.latency_objective_us, self.deadline_us)
         # The servers of all attempts so far, in order.
         self.servers: list[ServerRecord] = []
         # When each attempt in flight was sent, by attempt number.
@@ -33,11 +33,11 @@
         # Attempts that are known not to have run.
         self.unrun_attempts = 0
         # No answer is due any more: it was sent, or the client has disconnected.
-        self.is_answered = False
+        self.is_closed = False
         self.is_in_quota = False
         self.is_streaming = False
         # When its current wait, for a quota grant or to be sent, began.
-        self.queued_us = now_us
+        self.waiting_since_us = now_us
         # When it is decided without a grant; NEVER unless it awaits one.
         self.decide_at_us = NEVER
         self.grant: GrantRequest | None = None
--- a/orchidhatch/gateway/load_balancing.py
+++ b/orchidhatch/gateway/load_balancing.py
@@ -41,7 +41,7 @@
             context, self.averages, self.affinity, self.outliers, self.slow_start
         )
         # The number of servers up, each counted by its slow-start weight.
-        self.warm = 0.0
+        self.warm_capacity = 0.0
 
     @property
     def up(self) -> list[ServerRecord]:
@@ -49,18 +49,18 @@
         return self.index.up
 
     @property
-    def mean_us(self) -> list[float]:
+    def mean_latencies_us(self) -> list[float]:
         """The mean latency of each request class, in microseconds."""
         return self.averages.mean_latencies_us
 
-    @mean_us.setter
-    def mean_us(self, mean_latencies_us: list[float]) -> None:
+    @mean_latencies_us.setter
+    def mean_latencies_us(self, mean_latencies_us: list[float]) -> None:
         self.averages.mean_latencies_us = mean_latencies_us
 
-    def count_warm(self) -> None:
+    def update_warm_capacity(self) -> None:
         """Count the servers up, each by its slow-start weight."""
         warming = self.index.in_order(self.index.warming_at(self.context.now_us))
-        self.warm = len(self.up) - len(warming) + sum(map(self.slow_start.weight, warming))
+        self.warm_capacity = len(self.up) - len(warming) + sum(map(self.slow_start.weight, warming))
 
     def end_period(self, attempts_per_s: float, period_us: int) -> None:
         """Update scores and rates after a control period with that rate of first attempts."""
@@ -70,7 +70,7 @@
             self.index.update_decaying(server)
         self.affinity.end_period(attempts_per_s, len(self.up))
         self.slow_start.end_period(attempts_per_s, len(self.up), period_us)
-        self.count_warm()
+        self.update_warm_capacity()
 
     # --- attempts ---
 
@@ -79,17 +79,17 @@
         candidates = self.candidate_filter.candidates(request)
         count = min(MAX_COMPARED_SERVERS, len(candidates))
         compared = self.context.random.sample(candidates, count)
-        return min(compared, key=self.expected_cost.of, default=None)
+        return min(compared, key=self.expected_cost.compute, default=None)
 
-    def attempt_began(self, server: ServerRecord, name: tuple[str, int], sent_us: int) -> None:
+    def attempt_began(self, server: ServerRecord, attempt_key: tuple[str, int], sent_us: int) -> None:
         """Count an attempt, identified by its request id and number, as in flight at the server."""
-        server.in_flight[name] = sent_us
+        server.in_flight[attempt_key] = sent_us
         if self.is_listed(server):
             self.index.busy[server] = None
 
-    def attempt_ended(self, server: ServerRecord, name: tuple[str, int]) -> None:
+    def attempt_ended(self, server: ServerRecord, attempt_key: tuple[str, int]) -> None:
         """Count the attempt as no longer in flight, if it was."""
-        server.in_flight.pop(name, None)
+        server.in_flight.pop(attempt_key, None)
         if not server.in_flight:
             self.index.busy.pop(server, None)
 
@@ -99,7 +99,9 @@
 
     # --- results of attempts ---
 
-    def learn(self, server: ServerRecord, class_index: int, event: AttemptEnded, load: float | None) -> None:
+    def record_attempt(
+        self, server: ServerRecord, class_index: int, event: AttemptEnded, load: float | None
+    ) -> None:
         """Record the result of an attempt of this gateway, and the load that the server reported with it."""
         now_us = self.context.now_us
         result = event.result
@@ -120,10 +122,10 @@
 
     def observe(self, server: ServerRecord, class_index: int, succeeded: bool, latency_us: float) -> None:
         """Update the server's fault score and slow start with the result of any gateway's attempt."""
-        mean_us = self.averages.reference_latency_us(class_index)
-        self.outliers.observe(server, latency_us / mean_us if succeeded else MAX_FAULT_SCORE)
+        mean_latency_us = self.averages.reference_latency_us(class_index)
+        self.outliers.observe(server, latency_us / mean_latency_us if succeeded else MAX_FAULT_SCORE)
         if succeeded:
-            self.slow_start.record_latency(server, is_below_mean=latency_us < mean_us)
+            self.slow_start.record_latency(server, is_below_mean=latency_us < mean_latency_us)
         if self.is_listed(server):
             self.index.decaying[server] = None
 
--- a/orchidhatch/gateway/membership.py
+++ b/orchidhatch/gateway/membership.py
@@ -27,24 +27,24 @@
         self.balancer = balancer
         self.last_serial = 0
         # Servers that the list has marked as gone, the first one first.
-        self.gone: dict[str, None] = {}
+        self.gone_servers: dict[str, None] = {}
         # Whether an operator has ejected the server, by the name of each server that was ever listed.
-        self.names: dict[str, bool] = {}
+        self.ejected_by_name: dict[str, bool] = {}
 
     # --- the endpoint list ---
 
-    def on_list(self, event: EndpointList) -> None:
+    def on_endpoint_list(self, event: EndpointList) -> None:
         """Apply an endpoint list or changes to it, and subscribe to changes if necessary."""
         if self.context.settings.must_subscribe and event.kind in UNSUBSCRIBED_LISTS:
             self.context.actions.append(Subscribe(True))
         if event.kind not in PARTIAL_LISTS:
             self._remove_unlisted(event.endpoints)
         for endpoint in event.endpoints:
-            self.names.setdefault(endpoint.name, False)
+            self.ejected_by_name.setdefault(endpoint.name, False)
             self._add(endpoint)
             self._limit_gone(endpoint)
-        forget_excess(self.names, MAX_KNOWN_NAMES, self.balancer.servers)
-        self.balancer.count_warm()
+        forget_excess(self.ejected_by_name, MAX_KNOWN_NAMES, self.balancer.servers)
+        self.balancer.update_warm_capacity()
 
     def _remove_unlisted(self, endpoints: tuple[Endpoint, ...]) -> None:
         """Remove the servers that are missing from a complete list."""
@@ -55,11 +55,11 @@
 
     def _limit_gone(self, endpoint: Endpoint) -> None:
         """Keep the records of a bounded number of servers that are gone, as a server may return."""
-        self.gone.pop(endpoint.name, None)
+        self.gone_servers.pop(endpoint.name, None)
         if endpoint.state is EndpointState.GONE:
-            self.gone[endpoint.name] = None
-        while len(self.gone) > MAX_GONE_SERVERS:
-            self._remove(next(iter(self.gone)))
+            self.gone_servers[endpoint.name] = None
+        while len(self.gone_servers) > MAX_GONE_SERVERS:
+            self._remove(next(iter(self.gone_servers)))
 
     def _add(self, endpoint: Endpoint) -> None:
         """Add or update a listed server; a restarted server gets a new record."""
@@ -69,14 +69,14 @@
         server.endpoint = endpoint
         self._update(server)
 
-    def _create(self, endpoint: Endpoint, predecessor: ServerRecord | None) -> ServerRecord:
+    def _create(self, endpoint: Endpoint, previous_record: ServerRecord | None) -> ServerRecord:
         """Create a record, in the list position of the server's previous record if there is one."""
         server = ServerRecord(endpoint)
         self.balancer.servers[endpoint.name] = server
         self.balancer.slow_start.randomize_credit(server)
-        if predecessor:
-            server.serial = predecessor.serial
-            self.balancer.index.remove(predecessor)
+        if previous_record:
+            server.serial = previous_record.serial
+            self.balancer.index.remove(previous_record)
         else:
             self.last_serial += 1
             server.serial = self.last_serial
@@ -84,23 +84,23 @@
 
     def _remove(self, name: str) -> None:
         """Remove a server that has left the list; its attempts in flight continue."""
-        self.gone.pop(name, None)
+        self.gone_servers.pop(name, None)
         server = self.balancer.servers.pop(name, None)
         if server:
             self.balancer.index.remove(server)
 
     def _update(self, server: ServerRecord) -> None:
         """Update the slow start of a listed server, and whether it may be sent new work."""
-        self.balancer.slow_start.schedule(server)
+        self.balancer.slow_start.schedule_warm_up(server)
         endpoint = server.endpoint
-        is_up = endpoint.state is EndpointState.UP and not self.names.get(endpoint.name)
+        is_up = endpoint.state is EndpointState.UP and not self.ejected_by_name.get(endpoint.name)
         self.balancer.index.add(server, is_up)
 
     # --- ejections by operators ---
 
     def on_set_ejection(self, event: SetEjection) -> None:
         """Eject or readmit a server for an operator, notify the handover peer and report the result."""
-        is_known = event.server in self.names
+        is_known = event.server in self.ejected_by_name
         if is_known:
             self.set_ejection(event)
             self.context.send_to_handover_peer(HandoverEjection(event.server, event.is_ejected))
@@ -108,22 +108,22 @@
 
     def set_ejection(self, event: SetEjection | HandoverEjection) -> None:
         """Eject a server regardless of the list, or readmit it by a recovery probe and a slow start."""
-        if self.names.get(event.server, False) == event.is_ejected:
+        if self.ejected_by_name.get(event.server, False) == event.is_ejected:
             return
-        self.names[event.server] = event.is_ejected
+        self.ejected_by_name[event.server] = event.is_ejected
         server = self.balancer.servers.get(event.server)
         if server is None:
             return
         if not event.is_ejected:
             self.balancer.outliers.require_probe(server)
-            self.balancer.slow_start.restart(server)
+            self.balancer.slow_start.restart_warm_up(server)
         self._update(server)
-        self.balancer.count_warm()
+        self.balancer.update_warm_capacity()
 
     def restore_ejections(self, ejections: tuple[HandoverEjection, ...]) -> None:
         """Restore the operators' ejections from a predecessor's snapshot."""
-        self.names.update((ejection.server, ejection.is_ejected) for ejection in ejections)
-        forget_excess(self.names, MAX_KNOWN_NAMES, self.balancer.servers)
+        self.ejected_by_name.update((ejection.server, ejection.is_ejected) for ejection in ejections)
+        forget_excess(self.ejected_by_name, MAX_KNOWN_NAMES, self.balancer.servers)
         for server in self.balancer.servers.values():
             self._update(server)
-        self.balancer.count_warm()
+        self.balancer.update_warm_capacity()
--- a/orchidhatch/gateway/metrics.py
+++ b/orchidhatch/gateway/metrics.py
@@ -47,39 +47,43 @@
         now_us = self.context.now_us
         if now_us - self.counters.logged_us < LOG_INTERVAL_US:
             return []
-        line = LogLine(self.summary_text())
+        line = LogLine(self.format_summary())
         self.counters.start_log_period(now_us)
         self.outbox.tally.clear()
         return [line]
 
-    def summary_text(self) -> str:
+    def format_summary(self) -> str:
         """Return the log line: the admission limit, requests in flight and queued, and why requests ended."""
         overload = self.overload
         counters = self.counters
         messages = self.outbox.tally
-        latencies_ms = ",".join(f"{mean_us / 1000:.0f}" for mean_us in self.balancer.mean_us)
+        latencies_ms = ",".join(f"{mean_us / 1000:.0f}" for mean_us in self.balancer.mean_latencies_us)
         return (
-            f"cap {self.limit_text()} occupancy {overload.occupancy:.2f} rate {overload.rate:.0f}/s"
+            f"cap {self.format_limit()} occupancy {overload.occupancy:.2f}"
+            f" rate {overload.admissions_per_s:.0f}/s"
             f" mean {latencies_ms} ms out {overload.in_flight}"
-            f" held {len(self.queue)} ({self.queued_text()}) waiting {len(self.admission.awaiting_grant)}"
+            f" held {len(self.queue)} ({self.format_queue_waits()})"
+            f" waiting {len(self.admission.awaiting_grant)}"
             f" up {len(self.balancer.up)} suspect {self.count_outliers()}"
-            f" ended: {counts_text(counters.ended_since_log)}"
-            f" decided: {counts_text(counters.decided_since_log)}"
+            f" ended: {format_counts(counters.ended_since_log)}"
+            f" decided: {format_counts(counters.decided_since_log)}"
             f" old words {counters.answer_age_us_since_log // 1000} ms"
             f" peers: {' '.join(f'{name} {messages[name]}' for name in GOSSIP_COUNTS)}"
         )
 
-    def limit_text(self) -> str:
+    def format_limit(self) -> str:
         """Return the text of the admission limit and the length of its period."""
         limit = self.overload.admission_limit
         return "lifted" if limit is None else f"{limit:.1f}/{self.overload.period_length_us // S}s"
 
-    def queued_text(self) -> str:
+    def format_queue_waits(self) -> str:
         """Return the text of how many unsent requests wait for concurrency slots and rate ceilings."""
         never_sent = [request for request in self.queue if not request.servers]
-        at_slots = sum(request.customer.lacks_slot(self.context.now_us) for request in never_sent)
-        at_ceiling = sum(request.customer.lacks_ceiling_units(request.units) for request in never_sent)
-        return f"open cap {at_slots} ceiling {at_ceiling}"
+        waiting_for_slot = sum(request.customer.lacks_slot(self.context.now_us) for request in never_sent)
+        waiting_for_ceiling = sum(
+            request.customer.lacks_ceiling_units(request.units) for request in never_sent
+        )
+        return f"open cap {waiting_for_slot} ceiling {waiting_for_ceiling}"
 
     # --- the snapshot ---
 
@@ -115,13 +119,13 @@
         now_us = self.context.now_us
         since_us = self.counters.waits_counted_us
         self.counters.waits_counted_us = now_us
-        queued = [request for request in self.queue if not request.is_answered]
+        queued = [request for request in self.queue if not request.is_closed]
         waited_us: Counter[str] = Counter()
         for request in [*self.admission.awaiting_grant, *queued]:
-            waited_us[self.wait_name(request)] += now_us - max(since_us, request.queued_us)
+            waited_us[self.wait_reason_name(request)] += now_us - max(since_us, request.waiting_since_us)
         return [WaitTimes(tuple(sorted(waited_us.items())))] if waited_us else []
 
-    def wait_name(self, request: InFlightRequest) -> str:
+    def wait_reason_name(self, request: InFlightRequest) -> str:
         """Return what a waiting request waits for, by the name of the rejection reason if there is one."""
         if request.decide_at_us < NEVER:
             return AWAITING_GRANT_NAME
@@ -138,6 +142,6 @@
         return self.queue.limit_reason()
 
 
-def counts_text(counts: Counter[str]) -> str:
+def format_counts(counts: Counter[str]) -> str:
     """Return counts by name as `name=count`, sorted; "-" for none."""
     return " ".join(f"{name}={count}" for name, count in sorted(counts.items())) or "-"
--- a/orchidhatch/gateway/overload.py
+++ b/orchidhatch/gateway/overload.py
@@ -24,7 +24,7 @@
 RATE_SMOOTHING = 0.3
 """Weight of the last period in the moving average of the admission rate."""
 
-ADMISSIONS_PER_PERIOD = 10
+MIN_ADMISSIONS_PER_PERIOD = 10
 """With fewer admissions in a call control period, the control period is lengthened."""
 
 MAX_INCREASE_PER_S = 0.2
@@ -90,24 +90,24 @@
         self.admitted_this_period = 0
         self.period_start_us = -1
         self.period_length_us = CALL_CONTROL_PERIOD_US
-        self.rate = 0.0
-        self.samples: dict[OccupancySignal, list[float]] = no_samples()
+        self.admissions_per_s = 0.0
+        self.samples: dict[OccupancySignal, list[float]] = empty_samples()
 
     def observe(self, signal: OccupancySignal, occupancy: float) -> None:
         """Add an occupancy sample to this period."""
         self.samples[signal].append(occupancy)
 
-    def may_admit(self, warm_servers: float) -> bool:
+    def may_admit(self, warm_capacity: float) -> bool:
         """Return whether one more first attempt may be sent now.
 
-        `warm_servers` counts a server in slow start by its slow-start weight. Admissions are spread over the
+        `warm_capacity` counts a server in slow start by its slow-start weight. Admissions are spread over the
         period. Attempts in flight are limited even while N is lifted, as servers with too many of them may
         take long to recover.
         """
         elapsed_us = self.context.now_us - self.period_start_us + TICK_US
         elapsed = min(1.0, elapsed_us / self.period_length_us)
         gateways = self.context.settings.gateway_count
-        max_in_flight = max(MIN_IN_FLIGHT_LIMIT, round(ATTEMPTS_PER_SERVER * warm_servers / gateways))
+        max_in_flight = max(MIN_IN_FLIGHT_LIMIT, round(ATTEMPTS_PER_SERVER * warm_capacity / gateways))
         if self.in_flight >= max_in_flight:
             return False
         if self.admission_limit is None:
@@ -118,8 +118,8 @@
         """End the control period, and update the admission rate."""
         self.period_start_us += self.period_length_us
         period_rate = self.admitted_this_period * S / self.period_length_us
-        weight = RATE_SMOOTHING if self.rate else 1
-        self.rate += weight * (period_rate - self.rate)
+        weight = RATE_SMOOTHING if self.admissions_per_s else 1
+        self.admissions_per_s += weight * (period_rate - self.admissions_per_s)
 
     def begin_period(self, servers: int, overdue_ages: Callable[[], Iterable[float]]) -> None:
         """Set the length and the limit of the next control period from the results of the last one.
@@ -128,7 +128,9 @@
         """
         self.update(self.admitted_this_period, servers, overdue_ages)
         last_length_us = self.period_length_us
-        periods = min(MAX_CALL_CONTROL_PERIODS, round(ADMISSIONS_PER_PERIOD / max(1.0, self.rate)))
+        periods = min(
+            MAX_CALL_CONTROL_PERIODS, round(MIN_ADMISSIONS_PER_PERIOD / max(1.0, self.admissions_per_s))
+        )
         self.period_length_us = CALL_CONTROL_PERIOD_US * max(1, periods)
         if self.admission_limit is not None:
             self.admission_limit *= self.period_length_us / last_length_us
@@ -155,7 +157,7 @@
         signal = OccupancySignal.UTILIZATION if has_reports else OccupancySignal.LATENCY
         targets = TARGETS[signal]
         samples = self.samples[signal]
-        self.samples = no_samples()
+        self.samples = empty_samples()
         if signal is OccupancySignal.LATENCY:
             samples += overdue_ages()
         if not samples:
@@ -189,7 +191,7 @@
         return max(1, attempts, round(na_past))
 
 
-def no_samples() -> dict[OccupancySignal, list[float]]:
+def empty_samples() -> dict[OccupancySignal, list[float]]:
     """Return the empty sample lists of a new period."""
     return {signal: [] for signal in OccupancySignal}
 
--- a/orchidhatch/gateway/request_completion.py
+++ b/orchidhatch/gateway/request_completion.py
@@ -48,9 +48,9 @@
 
     def release(self, request: InFlightRequest) -> None:
         """Close the request, and remove it unless attempts are still in flight."""
-        if not request.servers and not request.is_answered:
+        if not request.servers and not request.is_closed:
             self.refund_quota(request)
-        may_cancel = self.context.settings.may_cancel and not request.is_answered
+        may_cancel = self.context.settings.may_cancel and not request.is_closed
         self.requests.close(request)
         if may_cancel:
             self.context.actions += [CancelAttempt(request.id, number) for number in request.attempts]
--- a/orchidhatch/gateway/request_queue.py
+++ b/orchidhatch/gateway/request_queue.py
@@ -55,7 +55,7 @@
         self.sender = sender
         self.completion = completion
         self.entries: list[QueueEntry] = []
-        self.serials = itertools.count()
+        self.sequence_numbers = itertools.count()
 
     def __len__(self) -> int:
         return len(self.entries)
@@ -70,13 +70,13 @@
 
     def enqueue(self, request: InFlightRequest) -> None:
         """Add a request behind those of the same priority."""
-        request.queued_us = self.context.now_us
+        request.waiting_since_us = self.context.now_us
         request.decide_at_us = NEVER
-        insort(self.entries, (-request.priority, next(self.serials), request))
+        insort(self.entries, (-request.priority, next(self.sequence_numbers), request))
 
     def has_admission_capacity(self) -> bool:
         """Return whether overload control admits one more first attempt now."""
-        return self.overload.may_admit(self.balancer.warm)
+        return self.overload.may_admit(self.balancer.warm_capacity)
 
     def dequeue(self) -> None:
         """Send the requests that may be sent now, in order."""
@@ -87,7 +87,7 @@
         is_blocked = False
         for entry in queued:
             request = entry[2]
-            if request.is_answered:
+            if request.is_closed:
                 continue
             if self.must_wait(request, is_blocked):
                 self.entries.append(entry)
@@ -119,14 +119,14 @@
 
         The objective matters only if the client may retry the request (`InFlightRequest.may_reject`).
         """
-        if request.is_answered:
+        if request.is_closed:
             return True
         now_us = self.context.now_us
-        mean_us = self.balancer.mean_us[request.class_index]
+        mean_latency_us = self.balancer.mean_latencies_us[request.class_index]
         needed_us = min(
-            min_latencies_left * mean_us, request.rule.latency_objective_us * MAX_OBJECTIVE_SHARE_LEFT
+            min_latencies_left * mean_latency_us, request.rule.latency_objective_us * MAX_OBJECTIVE_SHARE_LEFT
         )
-        misses_objective = request.may_reject() and now_us + needed_us >= request.objective_us
+        misses_objective = request.may_reject() and now_us + needed_us >= request.objective_due_us
         misses_deadline = now_us + MIN_TICKS_TO_DEADLINE * TICK_US >= request.deadline_us
         if not misses_objective and not misses_deadline:
             return False
--- a/orchidhatch/gateway/request_registry.py
+++ b/orchidhatch/gateway/request_registry.py
@@ -43,9 +43,9 @@
 
     def close(self, request: InFlightRequest) -> None:
         """Mark the request as no longer open."""
-        if request.is_answered:
+        if request.is_closed:
             return
-        request.is_answered = True
+        request.is_closed = True
         self.open_count -= 1
         self.open_bytes -= request.size_bytes
 
--- a/orchidhatch/gateway/retries.py
+++ b/orchidhatch/gateway/retries.py
@@ -6,7 +6,7 @@
 from orchidhatch.gateway.load_balancing import LoadBalancer
 from orchidhatch.gateway.settings import Idempotency
 
-FREE_RETRIES = (AttemptResult.CONNECT_FAILED, AttemptResult.LOCAL_FAILURE)
+FREE_RETRY_RESULTS = (AttemptResult.CONNECT_FAILED, AttemptResult.LOCAL_FAILURE)
 """Results of attempts that reached no server: their retries add no load and cost no budget."""
 
 RETRIES_PER_REQUEST = 0.1
@@ -30,13 +30,13 @@
         self.balancer = balancer
         self.budget = MAX_RETRY_BUDGET / 2
 
-    def earn(self) -> None:
+    def credit_first_attempt(self) -> None:
         """Add a first attempt's contribution to the budget."""
         self.budget = min(MAX_RETRY_BUDGET, self.budget + RETRIES_PER_REQUEST)
 
-    def spend(self, result: AttemptResult) -> None:
+    def charge_retry(self, result: AttemptResult) -> None:
         """Charge the budget for a retry after an attempt with that result."""
-        if result not in FREE_RETRIES:
+        if result not in FREE_RETRY_RESULTS:
             self.budget -= 1
 
     def may_retry(self, request: InFlightRequest, result: AttemptResult) -> bool:
@@ -46,7 +46,7 @@
         half_latency_us = self.mean_latency_us(request) / 2
         if self.context.now_us + half_latency_us >= request.deadline_us:
             return False
-        if result not in FREE_RETRIES and self.budget < 1:
+        if result not in FREE_RETRY_RESULTS and self.budget < 1:
             return False
         return len(request.servers) < self.context.settings.max_attempts
 
@@ -57,12 +57,12 @@
         the latency objective.
         """
         now_us = self.context.now_us
-        mean_us = self.mean_latency_us(request)
+        mean_latency_us = self.mean_latency_us(request)
         until_deadline_us = request.deadline_us - now_us
-        early_us = round(request.objective_us - now_us - LATENCIES_FOR_ANOTHER_ATTEMPT * mean_us)
+        early_us = round(request.objective_due_us - now_us - LATENCIES_FOR_ANOTHER_ATTEMPT * mean_latency_us)
         is_unsafe = request.rule.idempotency is Idempotency.UNSAFE
         is_last = is_unsafe or len(request.servers) >= self.context.settings.max_attempts
-        if is_last or early_us < MIN_TIMEOUT_LATENCIES * mean_us:
+        if is_last or early_us < MIN_TIMEOUT_LATENCIES * mean_latency_us:
             return max(1, until_deadline_us)
         return max(1, min(until_deadline_us, early_us))
 
@@ -79,4 +79,4 @@
 
     def mean_latency_us(self, request: InFlightRequest) -> float:
         """Return the mean latency of attempts of the request's class, in microseconds."""
-        return self.balancer.mean_us[request.class_index]
+        return self.balancer.mean_latencies_us[request.class_index]
--- a/orchidhatch/gateway/retry_after.py
+++ b/orchidhatch/gateway/retry_after.py
@@ -33,7 +33,7 @@
         if self.overload.admission_limit is not None:  # Requests already queue for the admission limit.
             return NEVER
         if reason is RejectionReason.TOO_MANY_OPEN_REQUESTS:
-            return self.balancer.mean_us[request.class_index]
+            return self.balancer.mean_latencies_us[request.class_index]
         if reason is RejectionReason.OVER_QUOTA:
             return customer.quota_wait_us(request.units, self.context.now_us)
         if not request.servers and customer.lacks_ceiling_units(request.units):
--- a/orchidhatch/gateway/server_index.py
+++ b/orchidhatch/gateway/server_index.py
@@ -18,7 +18,7 @@
 NEUTRAL_TOLERANCE = 1e-9
 
 
-class Without(Sequence[ServerRecord]):
+class ServersExcept(Sequence[ServerRecord]):
     """A view of a sequence of servers that omits a few positions, without copying it."""
 
     def __init__(self, servers: Sequence[ServerRecord], omitted: Iterable[int]) -> None:
@@ -73,9 +73,9 @@
     def add(self, server: ServerRecord, is_up: bool) -> None:
         """Add or update a listed server, with its states and whether it is up."""
         self._set_up(server, is_up)
-        sharing = self._by_checksum.setdefault(server.checksum, [])
-        if server not in sharing:
-            sharing.append(server)
+        same_checksum = self._by_checksum.setdefault(server.checksum, [])
+        if server not in same_checksum:
+            same_checksum.append(server)
         self.update(server)
 
     def remove(self, server: ServerRecord) -> None:
@@ -83,10 +83,10 @@
         self._set_up(server, is_up=False)
         for state in (self.busy, self.unhealthy, self.warming, self.decaying, self._answered):
             state.pop(server, None)
-        sharing = self._by_checksum.get(server.checksum, [])
-        if server in sharing:
-            sharing.remove(server)
-        if not sharing:
+        same_checksum = self._by_checksum.get(server.checksum, [])
+        if server in same_checksum:
+            same_checksum.remove(server)
+        if not same_checksum:
             self._by_checksum.pop(server.checksum, None)
 
     def _set_up(self, server: ServerRecord, is_up: bool) -> None:
@@ -108,10 +108,10 @@
         """Return the position of a server in `up`, or the position at which it would be inserted."""
         return bisect_left(self._up_serials, server.serial)
 
-    def with_checksum(self, checksum: int) -> ServerRecord | None:
+    def find_by_checksum(self, checksum: int) -> ServerRecord | None:
         """Return the server with this checksum; None if no server or several servers have it."""
-        sharing = self._by_checksum.get(checksum, ())
-        return sharing[0] if len(sharing) == 1 else None
+        same_checksum = self._by_checksum.get(checksum, ())
+        return same_checksum[0] if len(same_checksum) == 1 else None
 
     # --- states ---
 
--- a/orchidhatch/gateway/settings_codec.py
+++ b/orchidhatch/gateway/settings_codec.py
@@ -52,7 +52,7 @@
         except ValueError:
             value = math.nan
         if not math.isfinite(value):
-            raise ValueError(f"{path} is '{text:.40}', not a number")
+            raise ValueError(f"{path} is '{text:.40}', expected a finite number")
         return value
 
     def whole(self, path: str, default: int = 0) -> int:
--- a/orchidhatch/gateway/simulator.py
+++ b/orchidhatch/gateway/simulator.py
@@ -35,7 +35,7 @@
     """The decision core raised an exception."""
 
 
-class Host:
+class SimulatorHost:
     """The instances of this process and the numbered endpoint lists they refer to."""
 
     def __init__(self) -> None:
@@ -70,12 +70,12 @@
             self.endpoint_lists[number] = read_endpoints(lines, count)
             return []
         if self.target is None:
-            raise WireError("no instance is named")
+            raise WireError("no target instance is set")
         if name == "NEW_INSTANCE":
             self._start(self.target, fields)
             return []
         if self.target not in self.gateways:
-            raise WireError(f"there is no instance {self.target}")
+            raise WireError(f"unknown instance {self.target}")
         if name == "KILLED":
             del self.gateways[self.target]
             return []
@@ -98,7 +98,7 @@
         if kind is EndpointListKind.FAILED:
             return EndpointList(kind, version)
         if number not in self.endpoint_lists:
-            raise WireError(f"there is no list {number}")
+            raise WireError(f"unknown endpoint list {number}")
         return EndpointList(kind, version, self.endpoint_lists[number])
 
     def _decide(self, instance: int, event: Event) -> list[str]:
@@ -128,14 +128,14 @@
         return line.rstrip("\n")
 
 
-def run_batch(host: Host, lines: Iterator[str]) -> list[str] | None:
+def run_batch(host: SimulatorHost, lines: Iterator[str]) -> list[str] | None:
     """Handle the next batch and return the lines of its reply, or None at the end of the input."""
     first_line = next(lines, None)
     if first_line is None:
         return None
     name, values = split_line(first_line)
     if name != "MARK":
-        raise WireError("a batch starts with MARK")
+        raise WireError("a batch must start with MARK")
     host.start_batch(Fields(values).integer())
     reply: list[str] = []
     for line in lines:
@@ -151,14 +151,14 @@
 
 def serve(source: TextIO, sink: TextIO) -> int:
     """Answer batches until the input ends, and return the exit status of the process."""
-    host = Host()
+    host = SimulatorHost()
     lines = NumberedLines(source)
     try:
         while (reply := run_batch(host, lines)) is not None:
             sink.write("\n".join(reply) + "\n")
             sink.flush()
     except KeyError as error:
-        report_malformed_input(lines.number, f"unknown word {error}")
+        report_malformed_input(lines.number, f"unknown name {error}")
         return EXIT_MALFORMED_INPUT
     except (WireError, ValueError) as error:
         report_malformed_input(lines.number, str(error))
--- a/orchidhatch/gateway/simulator_codec.py
+++ b/orchidhatch/gateway/simulator_codec.py
@@ -130,8 +130,8 @@
     """Decode settings from `path=value` texts. Raises WireError for a text without an equals sign."""
     values: dict[str, str] = {}
     for pair in pairs:
-        path, sign, value = pair.partition("=")
-        if not sign:
+        path, separator, value = pair.partition("=")
+        if not separator:
             raise WireError(f"'{pair}' is not path=value")
         values[path] = value
     return SettingTexts(values)
@@ -151,7 +151,7 @@
     """Decode the line of an endpoint list entry."""
     name, values = split_line(line)
     if name != "M":
-        raise WireError("a list entry is missing")
+        raise WireError("expected an endpoint list entry (M)")
     fields = Fields(values)
     return Endpoint(
         name=fields.text(),
@@ -273,7 +273,7 @@
     for _ in range(count):
         line = next(lines, None)
         if line is None:
-            raise WireError("a list is cut off")
+            raise WireError("the endpoint list is cut off")
         endpoints.append(read_endpoint(line))
     return tuple(endpoints)
 
@@ -309,7 +309,7 @@
             return "SNAPSHOT"
         case LogLine(text):
             return f"EMIT {one_line(text)}"
-    raise TypeError(f"not an action: {action!r}")
+    raise TypeError(f"the protocol has no message for {action!r}")
 
 
 def one_line(text: str) -> str:
--- a/orchidhatch/gateway/slow_start.py
+++ b/orchidhatch/gateway/slow_start.py
@@ -40,12 +40,12 @@
         server.credit = self.context.random.random()
         server.credit_us = self.context.now_us
 
-    def restart(self, server: ServerRecord) -> None:
+    def restart_warm_up(self, server: ServerRecord) -> None:
         """Start the warm-up of a server anew; its first attempt is permitted at once."""
         server.cold_since_us = self.context.now_us
         server.credit = MAX_CREDIT
 
-    def schedule(self, server: ServerRecord) -> None:
+    def schedule_warm_up(self, server: ServerRecord) -> None:
         """Set the time at which a server is warm, from its start time and the settings."""
         settings = self.context.settings
         started_us = max(server.endpoint.started_us, server.cold_since_us)
--- a/tests/gateway/test_connection_affinity.py
+++ b/tests/gateway/test_connection_affinity.py
@@ -37,7 +37,7 @@
     """Each server's expected cost, but for what its latency contributes."""
     balancer = world.gateway.balancer
     return {
-        server.endpoint.name: balancer.expected_cost.of(server) / server.relative_latency
+        server.endpoint.name: balancer.expected_cost.compute(server) / server.relative_latency
         for server in balancer.up
     }
 
--- a/tests/gateway/test_grant_successors.py
+++ b/tests/gateway/test_grant_successors.py
@@ -158,7 +158,7 @@
 
 def test_latest_grant_requests_are_handed_over(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a snapshot that grows without bound, or leaves out the numbers just used."""
-    monkeypatch.setattr(handover_state, "GRANT_REQUESTS_LIMIT", 2)
+    monkeypatch.setattr(handover_state, "MAX_SNAPSHOT_GRANT_REQUESTS", 2)
     pair = HeldPair()
     for number in range(3):
         pair.ask(f"a{number}", units=6.0 + number)
@@ -179,7 +179,7 @@
 
 def test_latest_counted_grants_are_handed_over(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a snapshot that grows without bound, or leaves out what was just counted."""
-    monkeypatch.setattr(handover_state, "COUNTED_GRANTS_LIMIT", 2)
+    monkeypatch.setattr(handover_state, "MAX_SNAPSHOT_COUNTED_GRANTS", 2)
     pair = HeldPair(replace(PLAN, burst=100.0))
     for number in range(3):
         pair.ask(f"a{number}", units=26.0 + number)
--- a/tests/gateway/test_handover.py
+++ b/tests/gateway/test_handover.py
@@ -91,7 +91,11 @@
     successor.now = predecessor.now
     successor.tell(snapshot)
     balancer = successor.gateway.balancer
-    assert balancer.mean_us == predecessor.gateway.balancer.mean_us != World().gateway.balancer.mean_us
+    assert (
+        balancer.mean_latencies_us
+        == predecessor.gateway.balancer.mean_latencies_us
+        != World().gateway.balancer.mean_latencies_us
+    )
     assert balancer.slow_start.usual_rate == 12.0
     assert successor.gateway.overload.in_flight == 1
     assert list(balancer.servers[sent.server].in_flight) == [("last", 0)]
@@ -105,4 +109,4 @@
     snapshot = snapshot_of(World(replace(SETTINGS, classes=(SAFE, SAFE))))
     successor = World()
     successor.tell(snapshot)
-    assert successor.gateway.balancer.mean_us == World().gateway.balancer.mean_us
+    assert successor.gateway.balancer.mean_latencies_us == World().gateway.balancer.mean_latencies_us
--- a/tests/gateway/test_many_servers.py
+++ b/tests/gateway/test_many_servers.py
@@ -142,7 +142,7 @@
                 world.answer(name, chance.choice(RESULTS), attempt)
         for request in list(world.gateway.requests)[:3]:
             expected = brute_force_candidates(world, request)
-            candidates = world.gateway.balancer.candidate_filter.within_index(request)
+            candidates = world.gateway.balancer.candidate_filter.candidates_in_index(request)
             assert [server.endpoint.name for server in candidates] == expected
 
 
@@ -155,7 +155,7 @@
         return [balancer.servers[name] for name in brute_force_candidates(world, request)]
 
     if by_brute_force:
-        balancer.candidate_filter.within_index = candidates
+        balancer.candidate_filter.candidates_in_index = candidates
     chance = random.Random(seed)
     for number in range(300):
         world.ask(f"r{number}")
--- a/tests/gateway/test_quota_member.py
+++ b/tests/gateway/test_quota_member.py
@@ -39,7 +39,7 @@
     for number, world in enumerate(gateways.worlds):
         gateways.down = number
         world.tell(EndpointList(EndpointListKind.FULL, 2, ()))
-        world.gateway.balancer.mean_us = [20 * MS]
+        world.gateway.balancer.mean_latencies_us = [20 * MS]
         world.ask("a", time_left_us=left * MS, set_size=20)
         start_us = world.now
         world.run(S)
--- a/tests/gateway/test_server_index.py
+++ b/tests/gateway/test_server_index.py
@@ -1,6 +1,6 @@
 """The index of servers by state."""
 
-from orchidhatch.gateway.server_index import ServerIndex, Without
+from orchidhatch.gateway.server_index import ServerIndex, ServersExcept
 from orchidhatch.gateway.server_record import ServerRecord
 from orchidhatch.gateway.times import NEVER
 from tests.helpers import S, servers
@@ -63,7 +63,7 @@
 
 def test_view_without_positions_is_the_list_without_them() -> None:
     records = warm_records(6)
-    view = Without(records, [4, 0, 3])
+    view = ServersExcept(records, [4, 0, 3])
     expected = [records[1], records[2], records[5]]
     assert list(view) == expected
     assert [view[position] for position in range(len(view))] == expected
--- a/tests/gateway/test_simulator.py
+++ b/tests/gateway/test_simulator.py
@@ -8,7 +8,7 @@
 import pytest
 
 from orchidhatch.gateway.overload import OccupancySignal
-from orchidhatch.gateway.simulator import Host
+from orchidhatch.gateway.simulator import SimulatorHost
 
 ROOT = Path(__file__).parents[2]
 PARAMS = (
@@ -117,7 +117,7 @@
 
 
 def test_load_report_is_read_by_value_names() -> None:
-    host = Host()
+    host = SimulatorHost()
     for line in (start(0) + "NEW_REQUEST rq_a 0 0 c 900000 1 1 0 -").splitlines():
         name, *values = line.split(" ")
         if name != "M":
@@ -132,11 +132,11 @@
     [
         ("HELLO\n", 1, "MARK"),
         ("MARK x\n", 1, "invalid"),
-        (batch(1, "TARGET_INSTANCE 0\nBELL 0\n"), 3, "no instance 0"),
-        (batch(1, "BELL 0\n"), 2, "no instance is named"),
+        (batch(1, "TARGET_INSTANCE 0\nBELL 0\n"), 3, "unknown instance 0"),
+        (batch(1, "BELL 0\n"), 2, "no target instance is set"),
         (batch(1, f"{start(0)}WHAT 1\n"), 8, "unknown message"),
         (batch(1, f"{start(0)}NEW_REQUEST rq_a 0\n"), 8, "missing"),
-        (batch(1, f"{start(0)}ATTEMPT_END rq_a 1 0 s odd 5\n"), 8, "unknown word"),
+        (batch(1, f"{start(0)}ATTEMPT_END rq_a 1 0 s odd 5\n"), 8, "unknown name"),
         (batch(1, "TARGET_INSTANCE 0\nSHEET 0 3\nM a 0 0 0 U\n"), 5, "entry"),
         ("MARK 1\nSHEET 0 3\nM a 0 0 0 U\n", 3, "cut off"),
         ("MARK 1\n", 1, "within a batch"),
--- a/tests/gateway/test_slow_start.py
+++ b/tests/gateway/test_slow_start.py
@@ -76,7 +76,7 @@
         world.answer(f"r{n}")
     before = world.gateway.balancer.slow_start.permitted_rate(cold)
     world.run(10 * S)
-    assert world.gateway.overload.rate < 5
+    assert world.gateway.overload.admissions_per_s < 5
     assert world.gateway.balancer.slow_start.permitted_rate(cold) > before / 1.5
 
 
@@ -108,7 +108,7 @@
     gateways = Set(100, replace(SETTINGS, plans=(Plan(),), cold_capacity=0.2), fleet)
     cold = replace(fleet[0], started_us=gateways.worlds[0].now)
     for world in gateways.worlds:
-        world.gateway.balancer.mean_us = [10 * MS]
+        world.gateway.balancer.mean_latencies_us = [10 * MS]
         world.tell(EndpointList(EndpointListKind.CHANGES, 2, (cold,)))
     for n in range(1000):
         gateways.ask(n * 7 % 100, f"r{n}", customer=f"c{n}")
@@ -167,7 +167,7 @@
     assert len(sent_servers(world)) == 1
     balancer = world.gateway.balancer
     assert all(balancer.slow_start.weight(server) > 0 for server in balancer.up)
-    assert 0 < balancer.warm < 1
+    assert 0 < balancer.warm_capacity < 1
 
 
 # --- fleets ---
--- a/tests/proxy/test_local_failures.py
+++ b/tests/proxy/test_local_failures.py
@@ -226,8 +226,9 @@
 def test_local_failure_is_uninformative_of_the_backend() -> None:
     """What waits for nothing but this gateway's own bound is not booked on the server."""
     from orchidhatch.gateway.attempts import UNINFORMATIVE_RESULTS
-    from orchidhatch.gateway.retries import FREE_RETRIES
+    from orchidhatch.gateway.retries import FREE_RETRY_RESULTS
 
     assert (
-        AttemptResult.LOCAL_FAILURE in UNINFORMATIVE_RESULTS and AttemptResult.LOCAL_FAILURE in FREE_RETRIES
+        AttemptResult.LOCAL_FAILURE in UNINFORMATIVE_RESULTS
+        and AttemptResult.LOCAL_FAILURE in FREE_RETRY_RESULTS
     )
