--- a/orchidhatch/faults/seeded_defects.py
+++ b/orchidhatch/faults/seeded_defects.py
@@ -266,8 +266,8 @@
     from orchidhatch.proxy.client_connection import ClientConnection
 
     ClientConnection.eof_received = lambda self: True
-    ClientConnection.end_if_left = lambda self: False
-    ClientConnection.leave = lambda self: None
+    ClientConnection.close_if_client_left = lambda self: False
+    ClientConnection.abandon_replies = lambda self: None
 
 
 def retry_all_classes() -> None:
--- a/orchidhatch/proxy/active_configuration.py
+++ b/orchidhatch/proxy/active_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration that new requests are parsed and admitted by; a reload replaces its policy."""
+"""The configuration for parsing and admitting new requests; a reload replaces its policy."""
 
 from dataclasses import replace
 
@@ -17,7 +17,7 @@
         self.plan_names = {number: name for name, number in config.plan_numbers.items()}
 
     def replace_policy(self, config: Config) -> None:
-        """Take the plans, classes, bans and policy of `config`; everything else stays as it is."""
+        """Apply the plans, classes, bans and policy of `config`; keep everything else."""
         new = config.settings
         self.settings = replace(
             self.settings,
--- a/orchidhatch/proxy/client_connection.py
+++ b/orchidhatch/proxy/client_connection.py
@@ -1,4 +1,4 @@
-"""A client's connection: commands in, answers out in the order of the commands."""
+"""A client connection: reads commands and sends their answers in the order of the commands."""
 
 import asyncio
 import logging
@@ -21,19 +21,19 @@
 
 log = logging.getLogger(__name__)
 
-# Answers owed on a connection before its reading pauses.
+# Unanswered commands on a connection at which reading pauses.
 MAX_PIPELINED_COMMANDS = 16
-# A client may take 2 s for a command, and is owed an error line or a close within 3 s.
+# A client may take 2 s to send a command and must get an error line or a close within 3 s.
 COMMAND_TIMEOUT_S = 2.4
-# Bytes that wait for a client before it counts as slow.
+# Unsent bytes of a connection above which its client counts as slow.
 WRITE_BUFFER_BYTES = 16 * 1024
-# For the client to shut its side after this one was shut.
+# How long the client may take to close its side after this side was closed.
 LINGER_TIMEOUT_S = 1.0
 INTERNAL_ERROR = b"-ERR internal error\r\n"
 
 
 class ConnectionOwner(Protocol):
-    """The set of connections that a connection belongs to, and what all of them share."""
+    """The set of client connections that a connection belongs to, with the state that all of them share."""
 
     account: CpuAccounting
     guard: Guard
@@ -43,36 +43,37 @@
     clock: Callable[[], float]
     start_request: Callable[[list[bytes], Reply], None]
     abandon_request: Callable[[Reply], None]
-    reads_no_more: bool
+    is_reading_stopped: bool
 
     def elapsed_us(self, since_s: float) -> int:
-        """The microseconds since a time of the clock."""
+        """Return the microseconds since a time of `clock`."""
 
     def connection_opened(self, connection: "ClientConnection") -> None:
-        """Add a connection, or close it or another one for want of room."""
+        """Add a connection; at the connection limit, close it or an idle one."""
 
     def connection_idle(self, connection: "ClientConnection") -> None:
-        """All that was read on the connection is answered."""
+        """Handle that all commands read on the connection are answered."""
 
     def connection_busy(self, connection: "ClientConnection") -> None:
-        """An answer is owed on the connection."""
+        """Handle that the connection has an unanswered command."""
 
     def connection_closed(self, connection: "ClientConnection") -> None:
         """Remove a connection."""
 
     def answer_ping(self, arguments: list[bytes]) -> bytes:
-        """The answer to PING with these arguments."""
+        """Return the answer to PING with these arguments."""
 
     def schedule_sweep(self) -> None:
-        """See soon what time alone ends or lets go on."""
+        """Schedule a check for connections to be closed or resumed on a time limit."""
 
 
 class ClientConnection(asyncio.Protocol):
-    """A client's connection; its state goes by `TRANSITIONS`.
+    """A client connection; `TRANSITIONS` lists the changes of its state.
 
-    Beside the state stand four facts that hold in several states: whether the transport reads, whether it
-    takes no more to write (`is_write_paused`), whether a drain has stopped the reading for good
-    (`reads_no_more`), and whether a request ever came (`has_sent_request`). Times are of the owner's clock.
+    Four flags are independent of the state: whether the transport reads (`is_reading`), whether its write
+    buffer is full (`is_write_paused`), whether a drain has permanently stopped reading
+    (`is_reading_stopped`), and whether the client has sent a request (`has_sent_request`). Times in seconds
+    are of the owner's clock.
     """
 
     def __init__(self, clients: ConnectionOwner) -> None:
@@ -83,95 +84,96 @@
         self.transport: asyncio.Transport | None = None
         self.is_reading = True
         self.is_write_paused = False
-        self.reads_no_more = False
+        self.is_reading_stopped = False
         self.has_sent_request = False
         self.unsent_bytes = 0
-        """What waits for the client, when last measured."""
-        self.command_due_s: float | None = None
-        """When the command that is awaited has to be complete."""
+        """Bytes not yet sent to the client, as last measured."""
+        self.command_deadline_s: float | None = None
+        """When the awaited command must be complete; None if none is awaited."""
         self.read_paused_s = 0.0
         self.write_paused_s = 0.0
         self.progress_s = 0.0
-        """When the client last took some of what waits."""
+        """When the client last read some of the unsent bytes."""
         self.linger_until_s = 0.0
         self.arrived_us = 0
-        """When what was read last came, at the earliest, in microseconds of the process's clock."""
+        """The earliest time at which the last read bytes may have arrived, in microseconds of `now_us`."""
         self.unread_since_us = 0
-        """The same for a command that lay unread and is read in pieces; else 0."""
-        self.read_us = 0
-        """When the connection was last read, or accepted."""
+        """The same for bytes that waited unread and are read in several chunks; else 0."""
+        self.last_read_us = 0
+        """When the connection was last read, or accepted, in microseconds of `now_us`."""
 
     @property
     def is_ending(self) -> bool:
-        """Whether no further command is taken."""
+        """Whether no further command is processed."""
         return self.state in ENDING_STATES
 
     def now_s(self) -> float:
-        """The time of the owner's clock."""
+        """Return the time of the owner's clock."""
         return self.clients.clock()
 
     def _enter(self, state: ConnectionState) -> None:
-        """Go to `state`; a state that does not follow the present one is not entered."""
+        """Change to `state` if TRANSITIONS allows it, else keep the current state."""
         if state in TRANSITIONS[self.state]:
             self.state = state
 
     # --- commands ---
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Begin: who connects has something to ask."""
+        """Register the new connection and wait for its first command."""
         self.transport = transport
         self.unread_since_us = self.clients.loop_watch.accepted_since_us()
-        self.read_us = now_us()
+        self.last_read_us = now_us()
         transport.set_write_buffer_limits(WRITE_BUFFER_BYTES)
         self._await_command()
         self.clients.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """Take the commands that are complete now."""
+        """Process the commands that are complete now."""
         previous = self.clients.account.enter(CostCategory.CLIENTS)
         try:
             if not self.is_ending:
                 self._note_arrival()
-                self._take_commands(data)
+                self._process_commands(data)
             if not self.reader.buffer:
                 self.unread_since_us = 0
         finally:
             self.clients.account.leave(previous)
 
     def _note_arrival(self) -> None:
-        """Note when the bytes that were just read came, at the earliest.
+        """Set `arrived_us`, the earliest time at which the bytes just read may have arrived.
 
-        What lay unread may be read in several pieces; a piece that comes later was sent later.
+        Bytes that waited unread during a stall may be read in several chunks, which all count from that time.
+        A chunk that is read after a gap of GAP_US was sent later.
         """
         arrival_us = self.clients.loop_watch.arrival_us()
-        if self.unread_since_us and now_us() - self.read_us >= GAP_US:
+        if self.unread_since_us and now_us() - self.last_read_us >= GAP_US:
             self.unread_since_us = 0
-        self.read_us = now_us()
+        self.last_read_us = now_us()
         self.arrived_us = min(arrival_us, self.unread_since_us or arrival_us)
-        is_old = self.read_us - self.arrived_us >= GAP_US
+        is_old = self.last_read_us - self.arrived_us >= GAP_US
         self.unread_since_us = self.arrived_us if is_old else 0
 
-    def _take_commands(self, data: bytes) -> None:
-        self._enter(ConnectionState.TAKING)
+    def _process_commands(self, data: bytes) -> None:
+        self._enter(ConnectionState.PROCESSING)
         try:
             for arguments in self.reader.feed(data):
-                self._note_command()
-                self._take_command(arguments)
-            if self.reader.buffer and self.command_due_s is None:
+                self._end_command_wait()
+                self._process_command(arguments)
+            if self.reader.buffer and self.command_deadline_s is None:
                 self._await_command()
         except ProtocolError as error:
             self.clients.metrics.malformed_streams += 1
             self.finish(b"-ERR Protocol error: %b\r\n" % str(error).encode())
         except Exception:
-            # An internal fault costs this connection only, which still answers what it owes.
+            # An internal error ends only this connection, after all its commands are answered.
             log.exception("client connection failed")
             self._fail_replies()
             self.finish(INTERNAL_ERROR)
-        self._end_taking()
+        self._finish_processing()
         self.update_reading()
 
-    def _end_taking(self) -> None:
-        if self.state is not ConnectionState.TAKING:
+    def _finish_processing(self) -> None:
+        if self.state is not ConnectionState.PROCESSING:
             return
         if self.replies:
             self._enter(ConnectionState.ANSWERING)
@@ -182,11 +184,11 @@
         self._enter(ConnectionState.IDLE)
         self.clients.connection_idle(self)
 
-    def _take_command(self, arguments: list[bytes]) -> None:
+    def _process_command(self, arguments: list[bytes]) -> None:
         reply = Reply(self)
         self.replies.append(reply)
         self.clients.connection_busy(self)
-        self.reads_no_more = self.reads_no_more or self.clients.reads_no_more
+        self.is_reading_stopped = self.is_reading_stopped or self.clients.is_reading_stopped
         name = arguments[0].upper()
         if name == b"PING" and len(arguments) <= 2:
             reply.send(self.clients.answer_ping(arguments[1:]))
@@ -199,49 +201,49 @@
             reply.send(b"-ERR %b\r\n" % str(error).encode())
 
     def _fail_replies(self) -> None:
-        """Answer what is owed with an error."""
-        for reply in self._owed_replies():
+        """Answer all unanswered commands with an error."""
+        for reply in self._unanswered_replies():
             self.clients.abandon_request(reply)
             reply.send(FAILED_ANSWER)
 
-    def _owed_replies(self) -> list[Reply]:
+    def _unanswered_replies(self) -> list[Reply]:
         return [reply for reply in self.replies if not reply.is_complete]
 
-    # --- the time in which a command has to come ---
+    # --- command timeout ---
 
     def _await_command(self) -> None:
-        self.command_due_s = self.now_s() + COMMAND_TIMEOUT_S
+        self.command_deadline_s = self.now_s() + COMMAND_TIMEOUT_S
         self.clients.schedule_sweep()
 
     def awaiting_since_s(self) -> float | None:
-        """Since when a command is awaited; None if none is."""
-        if self.command_due_s is None:
+        """Return since when a command is awaited, None if none is."""
+        if self.command_deadline_s is None:
             return None
-        return self.command_due_s - COMMAND_TIMEOUT_S
+        return self.command_deadline_s - COMMAND_TIMEOUT_S
 
-    def _note_command(self) -> None:
+    def _end_command_wait(self) -> None:
         since_s = self.awaiting_since_s()
         if since_s is not None:
             self.clients.metrics.partial_waits.note(self.clients.elapsed_us(since_s))
-            self.command_due_s = None
+            self.command_deadline_s = None
 
     def is_command_overdue(self, now_s: float) -> bool:
-        """Whether the time for a command is over, and nothing lies unread."""
-        if self.state is not ConnectionState.IDLE or self.command_due_s is None:
+        """Return whether the command timeout has passed and the socket has no unread bytes."""
+        if self.state is not ConnectionState.IDLE or self.command_deadline_s is None:
             return False
-        if now_s < self.command_due_s:
+        if now_s < self.command_deadline_s:
             return False
-        # After a long turn of the event loop timers go ahead of what has come meanwhile.
+        # After a stall of the event loop, timers run before bytes that arrived meanwhile are read.
         return not socket_inspection.unread(self.transport)
 
     def has_unfinished_command(self) -> bool:
-        """Whether a command has begun to come, or lies unread at the socket."""
+        """Return whether a command was read in part, or bytes are unread at the socket."""
         return bool(self.reader.buffer) or socket_inspection.unread(self.transport)
 
     # --- answers ---
 
     def flush(self) -> None:
-        """Write what is ready at the head of the answers."""
+        """Write the answers that are ready and next in order."""
         previous = self.clients.account.enter(CostCategory.CLIENTS)
         try:
             self._write_ready()
@@ -249,17 +251,17 @@
             self.clients.account.leave(previous)
 
     def _write_ready(self) -> None:
-        ready = self._take_ready()
+        ready = self._pop_ready()
         if ready and not self.transport.is_closing():
             self.transport.write(b"".join(ready))
             if self.is_write_paused:
-                self.measure_unsent()
+                self.update_unsent_bytes()
         if not self.replies:
-            self._all_answered()
+            self._handle_all_answered()
         self.update_reading()
 
-    def _take_ready(self) -> list[bytes]:
-        """Remove and return what may be written now: no answer before those of earlier commands."""
+    def _pop_ready(self) -> list[bytes]:
+        """Remove and return the data that may be written now, in the order of the commands."""
         ready = []
         while self.replies and self.replies[0].data is not None:
             first = self.replies[0]
@@ -270,30 +272,30 @@
             self.replies.popleft()
         return ready
 
-    def _all_answered(self) -> None:
+    def _handle_all_answered(self) -> None:
         if self.is_ending:
-            self.shut()
-        elif self.state is not ConnectionState.TAKING:
+            self.close_gracefully()
+        elif self.state is not ConnectionState.PROCESSING:
             self._become_idle()
 
     def begin_stream(self) -> None:
-        """Read no further command until the streamed answer has ended."""
+        """Pause reading commands until the streamed answer has ended."""
         self._enter(ConnectionState.STREAMING)
         self.update_reading()
 
     def end_stream(self) -> None:
-        """The streamed answer is complete."""
+        """Resume reading commands, as the streamed answer is complete."""
         self._enter(ConnectionState.ANSWERING)
 
     # --- flow control ---
 
-    def read_no_more(self) -> None:
-        """Answer what is owed and read nothing behind it: the client sends that elsewhere."""
-        self.reads_no_more = bool(self.replies)
+    def stop_reading(self) -> None:
+        """Stop reading if commands are unanswered; the client sends later commands to another gateway."""
+        self.is_reading_stopped = bool(self.replies)
         self.update_reading()
 
     def update_reading(self) -> None:
-        """Read no further ahead than what fits: neither many commands nor answers that nobody reads."""
+        """Pause or resume reading by the number of unanswered commands and the state of the write buffer."""
         if self.transport is None or self.transport.is_closing():
             return
         if self.state is ConnectionState.LINGERING:
@@ -305,36 +307,36 @@
         elif self.is_reading and not should_read:
             self.read_paused_s = self.now_s()
             self.transport.pause_reading()
-            self.clients.schedule_sweep()  # the client's end would not be read meanwhile
+            self.clients.schedule_sweep()  # detects a disconnect, which is not read while paused
         self.is_reading = should_read
 
     def _should_read(self) -> bool:
         has_room = len(self.replies) < MAX_PIPELINED_COMMANDS and not self.is_write_paused
-        return has_room and not self.reads_no_more and self.state is not ConnectionState.STREAMING
+        return has_room and not self.is_reading_stopped and self.state is not ConnectionState.STREAMING
 
     def pause_writing(self) -> None:
-        """The client takes less than is written for it."""
+        """Pause reading commands, as the client reads too slowly and the write buffer is full."""
         self.is_write_paused = True
         self.write_paused_s = self.now_s()
         self.progress_s = self.write_paused_s
-        self.measure_unsent()
+        self.update_unsent_bytes()
         self.update_reading()
 
     def resume_writing(self) -> None:
-        """The client has taken what was written for it."""
+        """Resume reading and streaming, as the write buffer has drained."""
         self.is_write_paused = False
         self.clients.metrics.unsent_waits.note(self.clients.elapsed_us(self.write_paused_s))
-        self.measure_unsent()
+        self.update_unsent_bytes()
         if self.replies:
             self.replies[0].set_paused(False)
         self.update_reading()
 
     def must_pause_source(self) -> bool:
-        """Whether too much waits for slow clients to read more for this one."""
+        """Return whether too many bytes wait for slow clients to read more of a streamed answer."""
         return self.clients.backlog.is_over_limit()
 
-    def measure_unsent(self) -> None:
-        """Count what waits here for the client among what waits for all of them."""
+    def update_unsent_bytes(self) -> None:
+        """Measure the bytes not yet sent to the client and update the backlog of all clients."""
         unsent_bytes = 0
         if self.transport and self.state is not ConnectionState.LOST:
             blocked_bytes = sum(len(reply.data) for reply in self.replies if reply.data)
@@ -346,37 +348,37 @@
         if unsent_bytes:
             self.clients.schedule_sweep()
 
-    def is_swept(self) -> bool:
-        """Whether time alone may end it, or let it go on."""
-        has_deadline = self.command_due_s is not None or self.state is ConnectionState.LINGERING
+    def may_need_sweep(self) -> bool:
+        """Return whether a time limit may close the connection or resume it."""
+        has_deadline = self.command_deadline_s is not None or self.state is ConnectionState.LINGERING
         return has_deadline or bool(self.unsent_bytes) or not self.is_reading
 
-    # --- the end, by this side ---
+    # --- close by the gateway ---
 
     def finish(self, error_line: bytes) -> None:
-        """Send a last answer, then close; what is owed before it is answered first."""
+        """Send a final error line behind all earlier answers, then close."""
         self._enter(ConnectionState.FINISHING)
         self.replies.append(Reply(self, error_line))
         self.flush()
 
     def close(self) -> None:
-        """Close between requests; ignored where an answer is owed."""
+        """Close an idle connection; ignored if a command is unanswered."""
         if self.state is ConnectionState.IDLE and self.transport:
-            self.shut()
+            self.close_gracefully()
 
-    def shut(self) -> None:
-        """Close once all that was written has reached the client; refused where an answer is owed.
+    def close_gracefully(self) -> None:
+        """Close once all written data has reached the client; refused if a command is unanswered.
 
-        Where bytes of the client lie unread, the system would answer a close by a reset, and drop what it
-        still holds for the client. Then only this side is shut, and what comes is read and dropped until the
-        client shuts its own, or LINGER_TIMEOUT_S is over.
+        If bytes from the client are unread, the kernel turns a close into a reset and discards the data that
+        it has not yet delivered. So with unread or unsent bytes only the sending side is closed, and further
+        input is read and discarded until the client closes its side or LINGER_TIMEOUT_S has passed.
         """
         if self.state is ConnectionState.LINGERING:
             return
         if self.transport.is_closing():
             self._enter(ConnectionState.CLOSING)
             return
-        if self._refuse_if_owed(CloseReason.BETWEEN_REQUESTS):
+        if self._refuse_if_unanswered(CloseReason.BETWEEN_REQUESTS):
             return
         self.clients.metrics.closes[CloseReason.BETWEEN_REQUESTS] += 1
         if not self.transport.get_write_buffer_size() and not socket_inspection.unread(self.transport):
@@ -395,51 +397,54 @@
         self.clients.schedule_sweep()
 
     def end_linger(self, now_s: float) -> None:
-        """Close a lingering connection whose client has not ended it in time after all was written."""
+        """Close a lingering connection if its client has not closed it within LINGER_TIMEOUT_S.
+
+        The timeout starts once all data is written.
+        """
         if self.transport.get_write_buffer_size():
             self.linger_until_s = now_s + LINGER_TIMEOUT_S
         elif now_s >= self.linger_until_s:
             self._enter(ConnectionState.CLOSING)
             self.transport.close()
 
-    def break_off(self) -> None:
-        """Close at once over an answer that cannot be completed."""
+    def abort_stream(self) -> None:
+        """Close at once, as a streamed answer cannot be completed."""
         self._enter(ConnectionState.CLOSING)
-        self._refuse_if_owed(CloseReason.VALUE_BROKE)
+        self._refuse_if_unanswered(CloseReason.VALUE_BROKE)
         self.clients.metrics.closes[CloseReason.VALUE_BROKE] += 1
         self.abort()
 
-    def _refuse_if_owed(self, reason: CloseReason) -> bool:
-        """Count the close as a broken rule if answers are owed here; whether they are."""
-        owed = self._owed_replies()
-        for reply in owed:
+    def _refuse_if_unanswered(self, reason: CloseReason) -> bool:
+        """Have the guard count the close for each unanswered command; return whether there are any."""
+        unanswered = self._unanswered_replies()
+        for reply in unanswered:
             self.clients.guard.refuse(Refusal.ANSWER_OWED, reply.request_id or "", f"close={reason.value}")
-        return bool(owed)
+        return bool(unanswered)
 
     def abort(self) -> None:
-        """Close at once; `connection_lost` follows in the next turn of the event loop."""
+        """Close at once; `connection_lost` is called in the next iteration of the event loop."""
         if self.transport:
             self.transport.abort()
 
-    # --- the end, by the client ---
+    # --- close by the client ---
 
     def eof_received(self) -> None:
-        """The client has gone: the loop writes what is left for it, and only then tells of the loss."""
-        self.leave()
+        """Abandon all answers now, as the loop reports the loss only after it has written all data."""
+        self.abandon_replies()
 
-    def end_if_left(self) -> bool:
-        """Close if the client has left, also where its end was not read yet; whether it has."""
+    def close_if_client_left(self) -> bool:
+        """Close if the client has disconnected, even if that is still unread; return whether it has."""
         if self.transport is None:
             return False
         if not self.transport.is_closing() and not socket_inspection.left(self.transport):
             return False
         self.clients.metrics.closes[CloseReason.CLIENT_LEFT] += 1
-        self.leave()
+        self.abandon_replies()
         self.abort()
         return True
 
-    def leave(self) -> None:
-        """Give up what is owed here: nobody waits for it."""
+    def abandon_replies(self) -> None:
+        """Discard all answers and end the requests behind them, as the client has disconnected."""
         self._enter(ConnectionState.CLIENT_LEFT)
         replies = list(self.replies)
         self.replies.clear()
@@ -448,8 +453,8 @@
                 self.clients.abandon_request(reply)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The event loop has let go of the connection, closed by either side."""
+        """Release the connection after either side has closed it."""
         self._enter(ConnectionState.LOST)
-        self.leave()
-        self.measure_unsent()
+        self.abandon_replies()
+        self.update_unsent_bytes()
         self.clients.connection_closed(self)
--- a/orchidhatch/proxy/client_metrics.py
+++ b/orchidhatch/proxy/client_metrics.py
@@ -1,4 +1,4 @@
-"""What is counted of all client connections since the start."""
+"""Metrics of all client connections since the process start."""
 
 from collections import Counter
 
@@ -13,18 +13,18 @@
         self.closes: Counter[CloseReason] = Counter()
         """Connections closed by the gateway."""
         self.unread_waits = WaitHistogram()
-        """How long reading from a client was paused."""
+        """Times for which reading from a client was paused."""
         self.partial_waits = WaitHistogram()
-        """How long a command was awaited."""
+        """Times for which a command was awaited."""
         self.unsent_waits = WaitHistogram()
-        """How long writing to a client was paused."""
+        """Times for which writing to a client was paused."""
         self.malformed_commands = 0
-        """Commands that got an error."""
+        """Commands that were answered with an error."""
         self.malformed_streams = 0
-        """Connections that ended over bytes that are no command."""
+        """Connections closed because of a protocol error."""
         self.evictions = 0
-        """Connections that ended for want of room."""
+        """New connections over the connection limit, each of which cost an idle connection or was closed."""
         self.command_timeouts = 0
-        """Connections that ended as no command came in time."""
+        """Connections closed because no command arrived in time."""
         self.slow_readers = 0
-        """Connections that ended as their client read nothing."""
+        """Connections closed because their client read nothing."""
--- a/orchidhatch/proxy/clients.py
+++ b/orchidhatch/proxy/clients.py
@@ -1,4 +1,4 @@
-"""The set of client connections: bounded in number, kept by use, and drained."""
+"""The set of client connections: limits their number, evicts idle ones and drains them."""
 
 import asyncio
 import contextlib
@@ -22,7 +22,8 @@
 class Clients:
     """All client connections.
 
-    `take` starts a request from a command's arguments, `gone` ends one whose client has left.
+    `start_request` starts a request from a command's arguments; `abandon_request` ends a request whose client
+    has disconnected.
     """
 
     def __init__(
@@ -44,33 +45,33 @@
         self.metrics = ClientMetrics()
         self.backlog = SendBacklog()
         self.handover_peer_connections = 0
-        """Connections of the other process of this gateway, during a handover."""
+        """Client connections of the other process of this gateway during a handover."""
         self.connections: set[ClientConnection] = set()
         self.idle: dict[ClientConnection, None] = {}
-        """Those between requests; the one idle longest first."""
+        """Idle connections that have sent a request; the one idle longest first."""
         self.idle_without_request: dict[ClientConnection, None] = {}
-        """The same for those that have sent no request yet."""
+        """Idle connections that have not sent a request; the one idle longest first."""
         self.accepts_clients = True
-        """What PING is answered by."""
+        """Whether PING is answered positively."""
         self.ping_rejected = asyncio.Event()
-        """PING was answered that no new clients are accepted."""
+        """Set once a PING was answered with DRAINING_ERROR."""
         self.is_draining = False
-        self.reads_no_more = False
+        self.is_reading_stopped = False
         self.all_closed = asyncio.Event()
         self.sweeper = ClientSweeper(self, self.connections)
 
     def elapsed_us(self, since_s: float) -> int:
-        """The microseconds since a time of the clock."""
+        """Return the microseconds since a time of `clock`."""
         return round((self.clock() - since_s) * 1e6)
 
     def create_connection(self) -> ClientConnection:
-        """Return the protocol of a connection that was just accepted."""
+        """Return the protocol object of a newly accepted connection."""
         return ClientConnection(self)
 
-    # --- connections open, rest and close ---
+    # --- connection events ---
 
     def connection_opened(self, connection: ClientConnection) -> None:
-        """Add a connection, or close it or another one for want of room."""
+        """Add a connection; at the connection limit, close it or an idle one."""
         self.connections.add(connection)
         if len(self.connections) + self.handover_peer_connections > self.max_connections:
             self.make_room(connection)
@@ -78,10 +79,11 @@
             self._add_idle(connection)
 
     def make_room(self, newest: ClientConnection | None) -> None:
-        """Close one for a new one: first of those that have sent requests.
+        """Close an idle connection to make room for a new one, first among those that have sent a request.
 
-        The first request on a connection may come late, and would be lost with it; a client that has been
-        served sends one that crosses the close again.
+        A first request that crosses the close would be lost, whereas a client that was served before sends a
+        request that crosses the close again. Without an idle connection, `newest` gets an error and is
+        closed.
         """
         self.metrics.evictions += 1
         for connection in [*self.idle, *self.idle_without_request]:
@@ -92,13 +94,13 @@
         newest.finish(TOO_MANY_CLIENTS_ERROR)
 
     def connection_busy(self, connection: ClientConnection) -> None:
-        """An answer is owed on the connection."""
+        """Remove the connection from the idle ones, as it has an unanswered command."""
         self.idle.pop(connection, None)
         self.idle_without_request.pop(connection, None)
 
     def connection_idle(self, connection: ClientConnection) -> None:
-        """All that was read on the connection is answered: close it in a drain, else let it rest."""
-        if connection.reads_no_more or (self.is_draining and not connection.has_unfinished_command()):
+        """Close a connection with all commands answered during a drain, else add it to the idle ones."""
+        if connection.is_reading_stopped or (self.is_draining and not connection.has_unfinished_command()):
             connection.close()
         else:
             self._add_idle(connection)
@@ -115,7 +117,7 @@
             self.all_closed.set()
 
     def answer_ping(self, arguments: list[bytes]) -> bytes:
-        """The answer to PING: an error while no new clients are accepted, else the argument or PONG."""
+        """Return the answer to PING: an error if new clients are not accepted, else the argument or PONG."""
         if not self.accepts_clients:
             self.ping_rejected.set()
             return DRAINING_ERROR
@@ -124,34 +126,34 @@
         return b"$%d\r\n%b\r\n" % (len(arguments[0]), arguments[0])
 
     def schedule_sweep(self) -> None:
-        """See soon what time alone ends or lets go on."""
+        """Schedule a check for connections to be closed or resumed on a time limit."""
         self.sweeper.schedule()
 
-    # --- drain and end ---
+    # --- drain and close ---
 
     def drain(self) -> None:
-        """Close what is idle, and what becomes so; a command that has begun to come is awaited."""
+        """Close all idle connections and each that becomes idle; partly received commands are awaited."""
         self.is_draining = True
         for connection in [*self.idle, *self.idle_without_request]:
             if not connection.has_unfinished_command():
                 connection.close()
 
     def read_no_more(self) -> None:
-        """Drain, and read nothing behind what is owed now, or behind the next command that comes."""
+        """Drain, and stop reading on each connection after its unanswered commands or its next command."""
         self.drain()
-        self.reads_no_more = True
+        self.is_reading_stopped = True
         for connection in self.connections:
-            connection.read_no_more()
+            connection.stop_reading()
 
     def undo_drain(self) -> None:
-        """Accept clients again; connections that were to close do so."""
+        """Accept clients again; connections on which reading has stopped still close."""
         self.accepts_clients = True
         self.is_draining = False
-        self.reads_no_more = False
+        self.is_reading_stopped = False
         self.ping_rejected.clear()
 
     async def wait_closed(self, timeout_s: float) -> bool:
-        """Wait for the last connection to end, for `timeout_s` at most; whether it has."""
+        """Wait up to `timeout_s` until all connections are closed; return whether they are."""
         if self.connections:
             self.all_closed.clear()
             with contextlib.suppress(TimeoutError):
@@ -159,7 +161,7 @@
         return not self.connections
 
     def close(self) -> None:
-        """Close all connections, whatever is owed on them."""
+        """Close all connections at once, even with unanswered commands."""
         for connection in list(self.connections):
             self.metrics.closes[CloseReason.PROCESS_ENDS] += 1
             connection.abort()
--- a/orchidhatch/proxy/command_parser.py
+++ b/orchidhatch/proxy/command_parser.py
@@ -1,4 +1,4 @@
-"""Parses the requests of clients, SVC.QUERY and SVC.SUBMIT, and checks them against the settings."""
+"""Parses client requests, SVC.QUERY and SVC.SUBMIT, and validates them against the settings."""
 
 import math
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 QUERY = b"SVC.QUERY"
 SUBMIT = b"SVC.SUBMIT"
-# The positions of a request's arguments; SUBMIT has a body behind them.
+# The positions of a request's arguments; SUBMIT has a body after them.
 CUSTOMER_INDEX = 1
 REQUEST_ID_INDEX = 2
 FIELDS_INDEX = 3
@@ -27,14 +27,14 @@
 
 
 class CommandError(Exception):
-    """A well-formed command is wrong; its text is sent to the client, and the connection lives."""
+    """A well-formed command is invalid; the text is sent to the client, whose connection stays open."""
 
 
 @dataclass(frozen=True, slots=True)
 class Command:
-    """A request for the decision core, and the arguments to forward to a backend.
+    """A request for the decision core, with the arguments to forward to a backend.
 
-    `fields_head` and `fields_tail` are the list of fields before and after the time that the client waits.
+    `fields_head` and `fields_tail` are the parts of the field list before and after the client's timeout.
     """
 
     request: Request
@@ -43,7 +43,7 @@
     fields_tail: bytes
 
     def payload(self, wait_us: int) -> bytes:
-        """Encode the command for a backend: unchanged but for how long this gateway will wait."""
+        """Return the command's bytes for a backend, with `wait_us` in place of the client's timeout."""
         wait_ms = max(1, wait_us // 1000)
         fields = b"%b%d%b" % (self.fields_head, wait_ms, self.fields_tail)
         arguments = [*self.arguments[:FIELDS_INDEX], fields, *self.arguments[FIELDS_INDEX + 1 :]]
@@ -52,7 +52,7 @@
 
 
 class CommandParser:
-    """Turns a command's arguments into a request, so that a wrong one reaches neither core nor backend."""
+    """Turns a command's arguments into a request and rejects invalid ones before the core sees them."""
 
     def __init__(self, config: Config) -> None:
         self.class_numbers = config.class_numbers
@@ -68,25 +68,26 @@
     ) -> Command:
         """Parse a command.
 
-        The request's time left is what the client waits less `answer_margin_us` and less `unread_us`, for
-        which the command may have lain unread, and `max_time_left_us` at most. Raises CommandError.
+        The request's remaining time is the client's timeout less `answer_margin_us` and less `unread_us`, the
+        time for which the command may have waited unread; it is at most `max_time_left_us`. Raises
+        CommandError if the command is invalid.
         """
         is_write = self._is_write(arguments)
         customer = parse_customer(arguments[CUSTOMER_INDEX])
         request_id = parse_request_id(arguments[REQUEST_ID_INDEX])
         field_list = arguments[FIELDS_INDEX]
         fields = parse_fields(field_list)
-        class_number = self._class_number(fields, is_write)
-        plan_number = self.plan_numbers.get(fields.get("t", ""))
-        if plan_number is None:
+        class_index = self._class_index(fields, is_write)
+        plan_index = self.plan_numbers.get(fields.get("t", ""))
+        if plan_index is None:
             raise CommandError("unknown plan")
         wait_ms = parse_bounded_int(fields.get("d", ""), "time", 0, MAX_CLIENT_WAIT_MS)
         time_left_us = max(0, wait_ms * 1000 - answer_margin_us - unread_us)
         gateway_count = self.settings.gateway_count
         request = Request(
             id=request_id,
-            class_index=class_number,
-            plan_index=plan_number,
+            class_index=class_index,
+            plan_index=plan_index,
             customer=customer,
             time_left_us=min(max_time_left_us, time_left_us),
             units=parse_units(fields),
@@ -97,12 +98,15 @@
             size_bytes=sum(map(len, arguments)),
             unread_us=unread_us,
         )
-        wait_start = find_wait(field_list)
+        wait_start = find_wait_value(field_list)
         wait_end = wait_start + len(fields["d"])
         return Command(request, arguments, field_list[:wait_start], field_list[wait_end:])
 
     def _is_write(self, arguments: list[bytes]) -> bool:
-        """Whether the command is SUBMIT. Raises CommandError unless it is a request of the right length."""
+        """Return whether the command is SUBMIT.
+
+        Raises CommandError if the command is unknown or has a wrong number of arguments.
+        """
         name = arguments[0]
         if name not in (QUERY, SUBMIT):
             raise CommandError("unknown command")
@@ -112,22 +116,25 @@
             raise CommandError("wrong number of arguments")
         return is_write
 
-    def _class_number(self, fields: dict[str, str], is_write: bool) -> int:
-        """The number of the request's class. Raises CommandError if the command does not serve it."""
-        number = self.class_numbers.get(fields.get("c", ""))
-        if number is None:
+    def _class_index(self, fields: dict[str, str], is_write: bool) -> int:
+        """Return the index of the request's class.
+
+        Raises CommandError if the class is unknown or not served by the command, or if its key is missing.
+        """
+        class_index = self.class_numbers.get(fields.get("c", ""))
+        if class_index is None:
             raise CommandError("unknown class")
-        idempotency = self.settings.classes[number].idempotency
+        idempotency = self.settings.classes[class_index].idempotency
         is_read_class = idempotency is Idempotency.SAFE
         if is_write == is_read_class:
             raise CommandError("the command does not serve this class")
         if idempotency is Idempotency.KEYED and not fields.get("k"):
             raise CommandError("a key is missing")
-        return number
+        return class_index
 
 
 def parse_customer(argument: bytes) -> str:
-    """The customer's number as lower-case hex digits. Raises CommandError."""
+    """Return the customer's number as lower-case hex digits. Raises CommandError if it is invalid."""
     is_hex = len(argument) == CUSTOMER_DIGITS and HEX_DIGITS.issuperset(argument)
     if not is_hex or int(argument, 16) >= CUSTOMER_LIMIT:
         raise CommandError("invalid customer")
@@ -135,20 +142,23 @@
 
 
 def parse_request_id(argument: bytes) -> str:
-    """The request's id, of letters and digits. Raises CommandError."""
+    """Return the request's id. Raises CommandError if it is not of letters and digits, or is too long."""
     if not 0 < len(argument) <= MAX_REQUEST_ID_BYTES or not argument.isalnum():
         raise CommandError("invalid id")
     return argument.decode()
 
 
 def parse_fields(argument: bytes) -> dict[str, str]:
-    """The values by name of a list such as `c=read,t=team,d=500`. Raises CommandError."""
+    """Return the values by name of a list such as `c=read,t=team,d=500`.
+
+    Raises CommandError if the list is malformed or has a name twice.
+    """
     try:
         text = argument.decode("ascii")
     except UnicodeDecodeError:
         raise CommandError("invalid fields") from None
     parts = [part.partition("=") for part in text.split(",")]
-    if not all(name and sign for name, sign, _ in parts):
+    if not all(name and equals_sign for name, equals_sign, _ in parts):
         raise CommandError("invalid fields")
     fields = {name: value for name, _, value in parts}
     if len(fields) != len(parts):
@@ -157,7 +167,7 @@
 
 
 def parse_bounded_int(text: str, field_name: str, minimum: int, maximum: int) -> int:
-    """The decimal number in `text`. Raises CommandError if it is none, or not within the bounds."""
+    """Return the decimal number in `text`. Raises CommandError if it is not a number or out of bounds."""
     is_number = text.isascii() and text.isdigit() and len(text) <= MAX_INT_DIGITS
     if not is_number or not minimum <= int(text) <= maximum:
         raise CommandError(f"invalid {field_name}")
@@ -165,18 +175,18 @@
 
 
 def parse_units(fields: dict[str, str]) -> float:
-    """The units that the request takes from its quota, 1 by default. Raises CommandError."""
+    """Return the units that the request spends, 1 by default. Raises CommandError if they are invalid."""
     try:
         units = float(fields.get("units", "1"))
     except ValueError:
         units = math.nan
-    if not 0 < units <= MAX_UNITS:  # also false for what is not a number
+    if not 0 < units <= MAX_UNITS:  # also rejects NaN
         raise CommandError("invalid units")
     return units
 
 
-def find_wait(field_list: bytes) -> int:
-    """Where the value of the field `d` begins in a list that has one."""
+def find_wait_value(field_list: bytes) -> int:
+    """Return the position of the value of field `d`, the client's timeout, in a list that has the field."""
     if field_list.startswith(b"d="):
         return len(b"d=")
     return field_list.find(b",d=") + len(b",d=")
--- a/orchidhatch/proxy/connection_state.py
+++ b/orchidhatch/proxy/connection_state.py
@@ -1,35 +1,35 @@
-"""The states of a client connection, and which may follow which."""
+"""The states of a client connection and the transitions between them."""
 
 from enum import StrEnum
 
 
 class ConnectionState(StrEnum):
-    """What is owed on a client connection, and how far its end has come."""
+    """The progress of a client connection through its answers and its close."""
 
     IDLE = "idle"
-    """Between requests: no answer is owed."""
-    TAKING = "taking"
-    """Amid the commands that came in one piece; those behind one that is answered are owed too."""
+    """Between requests: every command is answered."""
+    PROCESSING = "taking"
+    """The commands of one read are being processed; the connection is not idle before the last one."""
     ANSWERING = "answering"
-    """Answers are owed; further commands are read."""
+    """Commands are unanswered; further commands are read."""
     STREAMING = "streaming"
-    """A long value is passed on as it comes; no further command is read, as a break would lose it."""
+    """A long value is streamed; no further command is read, as aborting the stream would lose it."""
     FINISHING = "finishing"
-    """An error line is the last answer; what comes is dropped, and all that is owed is answered first."""
+    """An error line is queued as the last answer; further input is discarded."""
     LINGERING = "lingering"
-    """All is written and this side is shut; what comes is dropped until the client shuts its own."""
+    """The sending side is closed; input is discarded until the client closes its side."""
     CLOSING = "closing"
-    """Closed by this side."""
+    """Closed by the gateway."""
     CLIENT_LEFT = "client_left"
-    """Ended by the client: nothing is owed any more."""
+    """Closed by the client: no answer is sent any more."""
     LOST = "lost"
-    """The event loop has let go of the connection."""
+    """The event loop has released the connection."""
 
 
 TRANSITIONS: dict[ConnectionState, frozenset[ConnectionState]] = {
     ConnectionState.IDLE: frozenset(
         {
-            ConnectionState.TAKING,
+            ConnectionState.PROCESSING,
             ConnectionState.FINISHING,
             ConnectionState.LINGERING,
             ConnectionState.CLOSING,
@@ -37,7 +37,7 @@
             ConnectionState.LOST,
         }
     ),
-    ConnectionState.TAKING: frozenset(
+    ConnectionState.PROCESSING: frozenset(
         {
             ConnectionState.IDLE,
             ConnectionState.ANSWERING,
@@ -46,17 +46,17 @@
             ConnectionState.LOST,
         }
     ),
-    # No close by this side: an answer is owed.
+    # The gateway does not close here, as a command is unanswered.
     ConnectionState.ANSWERING: frozenset(
         {
             ConnectionState.IDLE,
-            ConnectionState.TAKING,
+            ConnectionState.PROCESSING,
             ConnectionState.STREAMING,
             ConnectionState.CLIENT_LEFT,
             ConnectionState.LOST,
         }
     ),
-    # Closed by this side only over a value that breaks. The client may shut its own side amid the value.
+    # The gateway closes here only if the value cannot be completed. The client may close during the value.
     ConnectionState.STREAMING: frozenset(
         {
             ConnectionState.ANSWERING,
@@ -76,7 +76,7 @@
     ConnectionState.LINGERING: frozenset(
         {ConnectionState.CLOSING, ConnectionState.CLIENT_LEFT, ConnectionState.LOST}
     ),
-    # A client that leaves before the close has reached it.
+    # The client may disconnect before the close has reached it.
     ConnectionState.CLOSING: frozenset({ConnectionState.CLIENT_LEFT, ConnectionState.LOST}),
     ConnectionState.CLIENT_LEFT: frozenset({ConnectionState.LOST}),
     ConnectionState.LOST: frozenset(),
@@ -91,16 +91,16 @@
         ConnectionState.LOST,
     }
 )
-"""No command is taken any more."""
+"""The states in which no further command is processed."""
 
 
 class CloseReason(StrEnum):
     """Why the gateway closes a client's connection."""
 
     BETWEEN_REQUESTS = "between_requests"
-    """Idle, in a drain, over a malformed command, for a new client, or as no command came in time."""
+    """Between requests: drain, malformed command, eviction for a new client, or command timeout."""
     CLIENT_LEFT = "client_left"
     VALUE_BROKE = "value_broke"
-    """A long value that had begun to be sent cannot be finished."""
+    """A partly sent long value cannot be completed."""
     READS_NOTHING = "reads_nothing"
     PROCESS_ENDS = "process_ends"
--- a/orchidhatch/proxy/reply.py
+++ b/orchidhatch/proxy/reply.py
@@ -1,4 +1,4 @@
-"""One answer among those of a client connection, which leave in the order of the commands."""
+"""One answer in a client connection's queue, which is sent in the order of the commands."""
 
 from collections.abc import Sequence
 from typing import Protocol
@@ -7,17 +7,17 @@
 
 
 class ReplySource(Protocol):
-    """Where the pieces of a streamed answer come from."""
+    """The source of the chunks of a streamed answer."""
 
     def pause(self) -> None:
-        """Read no more pieces for now."""
+        """Stop reading chunks until `resume`."""
 
     def resume(self) -> None:
-        """Read on after a pause."""
+        """Continue to read chunks after a pause."""
 
 
 class ReplyConnection(Protocol):
-    """The client connection that an answer leaves by."""
+    """The client connection that an answer is sent on."""
 
     replies: Sequence["Reply"]
     is_reading: bool
@@ -25,42 +25,42 @@
     arrived_us: int
 
     def now_s(self) -> float:
-        """The time of the connection's clock, in seconds."""
+        """Return the time of the connection's clock, in seconds."""
 
     def flush(self) -> None:
-        """Write what is ready at the head of the connection's answers."""
+        """Write the answers that are ready and next in order."""
 
-    def measure_unsent(self) -> None:
-        """Count what waits for the client anew."""
+    def update_unsent_bytes(self) -> None:
+        """Measure the bytes not yet sent to the client."""
 
     def must_pause_source(self) -> bool:
-        """Whether too much waits for slow clients to read more for this one."""
+        """Return whether too many bytes wait for slow clients to read more of a streamed answer."""
 
     def begin_stream(self) -> None:
-        """Read no further command until the streamed answer has ended."""
+        """Pause reading commands until the streamed answer has ended."""
 
     def end_stream(self) -> None:
-        """The streamed answer is complete."""
+        """Resume reading commands, as the streamed answer is complete."""
 
-    def break_off(self) -> None:
-        """Close at once, as the streamed answer cannot be completed."""
+    def abort_stream(self) -> None:
+        """Close at once, as a streamed answer cannot be completed."""
 
-    def end_if_left(self) -> bool:
-        """Close if the client has left; whether it has."""
+    def close_if_client_left(self) -> bool:
+        """Close if the client has disconnected; return whether it has."""
 
 
 class Reply:
-    """The place of one answer among those of its connection.
+    """One answer in the queue of its connection.
 
-    `data` is what of it is ready and not written, None before any of it is. A long answer is streamed: it
-    comes in pieces from `source`, which is paused while they cannot leave. `request_id` is of the request
-    that it answers, None for other commands; `progress_s` is when its last piece came.
+    `data` is the part that is ready and not yet written, None before any part is ready. A long answer is
+    streamed: its chunks come from `source`, which is paused while they cannot be sent. `request_id` is the id
+    of the answered request, None for other commands. `progress_s` is the time of the last chunk.
     """
 
     __slots__ = ("connection", "data", "is_complete", "is_paused", "progress_s", "request_id", "source")
 
     def __init__(self, connection: ReplyConnection, data: bytes | None = None) -> None:
-        """Create the place; `data` is the whole answer where it is known already."""
+        """Create an answer; `data` is the complete answer if it is already known."""
         self.connection = connection
         self.data = data
         self.is_complete = data is not None
@@ -70,7 +70,7 @@
         self.progress_s = 0.0
 
     def send(self, data: bytes) -> None:
-        """Send the whole answer, or the last of its pieces; ignored once it is complete."""
+        """Send the complete answer, or its last chunk; ignored if the answer is already complete."""
         if self.is_complete:
             return
         if self.is_streaming():
@@ -79,42 +79,43 @@
         self.is_complete = True
         self.connection.flush()
 
-    def begin(self, data: bytes, source: ReplySource) -> None:
-        """Start to stream the answer, of which `data` is the beginning."""
+    def start_stream(self, data: bytes, source: ReplySource) -> None:
+        """Start to stream the answer; `data` is its first part."""
         self.data = data
         self.source = source
         self.progress_s = self.connection.now_s()
         self.connection.begin_stream()
 
     def is_last(self) -> bool:
-        """Whether no answer to a further command is owed behind it."""
+        """Return whether this is the last answer in the connection's queue."""
         replies = self.connection.replies
         return bool(replies) and replies[-1] is self
 
     def is_streaming(self) -> bool:
-        """Whether its pieces come, and the last of them has not."""
+        """Return whether the answer is streamed and incomplete."""
         return self.source is not None and not self.is_complete
 
-    def end_if_client_left(self, may_be_unread: bool) -> bool:
-        """Close the client's connection if the client has left; whether it has.
+    def close_if_client_left(self, may_be_unread: bool) -> bool:
+        """Close the client's connection if the client has disconnected; return whether it has.
 
-        The end is looked for at the socket where it may not have been read yet.
+        The socket is checked only if the disconnect may be unread: with `may_be_unread`, or while reading is
+        paused.
         """
         if self.connection.is_reading and not may_be_unread:
             return False
-        return self.connection.end_if_left()
+        return self.connection.close_if_client_left()
 
     def append(self, data: bytes) -> None:
-        """Send a further piece; while it cannot leave, the source is paused."""
+        """Send a further chunk; pause the source while the client is slow and the backlog is too large."""
         self.data += data
         self.progress_s = self.connection.now_s()
         self.connection.flush()
-        self.connection.measure_unsent()
+        self.connection.update_unsent_bytes()
         if self.connection.is_write_paused or self.data:
             self.set_paused(self.connection.must_pause_source())
 
     def set_paused(self, is_paused: bool) -> None:
-        """Pause the source of a streamed answer, or let it go on."""
+        """Pause or resume the source of a streamed answer."""
         if self.source is None or is_paused == self.is_paused:
             return
         self.is_paused = is_paused
@@ -123,10 +124,10 @@
         else:
             self.source.resume()
 
-    def cut(self) -> None:
-        """End it without the rest: the client can tell only by the end of its connection."""
+    def abort(self) -> None:
+        """End an incomplete answer by closing the connection, which is how the client detects it."""
         if self.is_complete:
             return
         self.is_complete = True
         self.source = None
-        self.connection.break_off()
+        self.connection.abort_stream()
--- a/orchidhatch/proxy/request_lifecycle.py
+++ b/orchidhatch/proxy/request_lifecycle.py
@@ -216,7 +216,7 @@
         loop. The core and this class ensure the other invariants earlier; the guard counts a breach.
         """
         exchange = self.open.get(attempt.request_id)
-        if exchange and exchange.reply.end_if_client_left(self.loop_watch.is_suspicious):
+        if exchange and exchange.reply.close_if_client_left(self.loop_watch.is_suspicious):
             self.tally["left before sending"] += 1
             return False
         refusal = self._refusal(attempt, exchange)
@@ -308,7 +308,7 @@
         exchange.timer = self.loop.call_later(SEND_STALL_TIMEOUT_S, self._check_stall, attempt.request_id)
         elapsed_us = now_us() - attempt.sent_us
         self.post(StreamStarted(attempt.request_id, attempt.number, attempt.server, elapsed_us))
-        exchange.reply.begin(b"$%d\r\n" % size, attempt)
+        exchange.reply.start_stream(b"$%d\r\n" % size, attempt)
         return exchange.reply.append
 
     def _buffer_value(
@@ -360,7 +360,7 @@
         if is_complete:
             exchange.reply.send(b"\r\n")
         else:
-            exchange.reply.cut()
+            exchange.reply.abort()
 
     # --- answers ---
 
--- a/orchidhatch/proxy/send_backlog.py
+++ b/orchidhatch/proxy/send_backlog.py
@@ -1,18 +1,19 @@
-"""The bound on the bytes that wait in this process for slow clients."""
+"""The limit on the bytes that wait in this process for slow clients."""
 
-# The program itself needs up to 16 MB, and there may be two of it during a handover.
+# A process needs up to 16 MB without buffers, and two processes run during a handover.
 PROGRAM_MEMORY_MB = 32
-# Each of two processes may use a third of the rest.
+# Each of the two processes may use a third of the remaining memory.
 BACKLOG_MEMORY_DIVISOR = 3
 MIN_BACKLOG_BYTES = 1 << 20
-# Short answers are whole when they come, and cannot be paused: past this many limits the slowest client goes.
-SHED_LIMITS = 2
+# Short answers arrive complete and cannot be paused, so the backlog may exceed its limit. Above this multiple
+# of the limit the slowest clients are closed.
+SHED_LIMIT_FACTOR = 2
 
 
 class SendBacklog:
-    """Bytes that wait for clients, in all connections.
+    """The unsent bytes of all client connections.
 
-    Up to `limit_bytes` long values are read ahead of slow clients, as a backend's attempt is out until its
+    Long values are read ahead of slow clients up to `limit_bytes`, as an attempt stays in flight until its
     value is read.
     """
 
@@ -21,14 +22,14 @@
         self.unsent_bytes = 0
 
     def set_memory(self, memory_mb: int) -> None:
-        """Set the limit by the memory of the gateway, in MB."""
+        """Set the limit from the gateway's memory, in MB."""
         spare_bytes = (memory_mb - PROGRAM_MEMORY_MB) * (1 << 20)
         self.limit_bytes = max(MIN_BACKLOG_BYTES, spare_bytes // BACKLOG_MEMORY_DIVISOR)
 
     def is_over_limit(self) -> bool:
-        """Whether long values have to be paused."""
+        """Return whether streamed values must be paused."""
         return self.unsent_bytes > self.limit_bytes
 
     def shed_limit_bytes(self) -> int:
-        """How many bytes may wait before the slowest clients are closed."""
-        return SHED_LIMITS * self.limit_bytes
+        """Return the number of unsent bytes above which the slowest clients are closed."""
+        return SHED_LIMIT_FACTOR * self.limit_bytes
--- a/tests/proxy/test_client_sweeper.py
+++ b/tests/proxy/test_client_sweeper.py
@@ -7,7 +7,7 @@
 
 from orchidhatch.proxy.client_connection import COMMAND_TIMEOUT_S
 from orchidhatch.proxy.client_sweeper import SEND_STALL_TIMEOUT_S
-from orchidhatch.proxy.send_backlog import SHED_LIMITS
+from orchidhatch.proxy.send_backlog import SHED_LIMIT_FACTOR
 from orchidhatch.proxy.server import GatewayServer
 from tests.proxy.gateway_scripts import (
     queue_status,
@@ -125,7 +125,7 @@
         )  # as much as may wait, and no more
         gateway.clients.sweeper.sweep()
         assert queue_status(gateway, "unsent_bytes").rejected == 0
-        gateway.clients.backlog.limit_bytes = gateway.clients.backlog.unsent_bytes // SHED_LIMITS - 1
+        gateway.clients.backlog.limit_bytes = gateway.clients.backlog.unsent_bytes // SHED_LIMIT_FACTOR - 1
         gateway.clients.sweeper.sweep()
         await until(lambda: not gateway.clients.connections)
         found = queue_status(gateway, "unsent_bytes")
--- a/tests/proxy/test_connection_state.py
+++ b/tests/proxy/test_connection_state.py
@@ -15,7 +15,7 @@
 from tests.sockets import Backend, Client, front_door, query, resp, value
 
 IDLE = ConnectionState.IDLE
-TAKING = ConnectionState.TAKING
+PROCESSING = ConnectionState.PROCESSING
 ANSWERING = ConnectionState.ANSWERING
 STREAMING = ConnectionState.STREAMING
 FINISHING = ConnectionState.FINISHING
@@ -24,7 +24,7 @@
 CLIENT_LEFT = ConnectionState.CLIENT_LEFT
 LOST = ConnectionState.LOST
 
-UNTIL_STREAMING = [TAKING, ANSWERING, STREAMING]
+UNTIL_STREAMING = [PROCESSING, ANSWERING, STREAMING]
 
 
 async def until(what: Callable[[], object]) -> None:
@@ -87,7 +87,7 @@
         assert await client.ask(query("a1")) == b"ok"
         client.writer.close()
         await until(lambda: LOST in entered)
-    assert entered == [TAKING, ANSWERING, IDLE, CLIENT_LEFT, LOST]
+    assert entered == [PROCESSING, ANSWERING, IDLE, CLIENT_LEFT, LOST]
 
 
 async def test_states_of_a_ping(entered: list[ConnectionState]) -> None:
@@ -96,7 +96,7 @@
         client = await Client.open(address)
         client.send(resp("PING") * 2)
         assert [await client.answer(), await client.answer()] == [b"PONG", b"PONG"]
-        assert entered == [TAKING, IDLE]
+        assert entered == [PROCESSING, IDLE]
         assert len(gateway.clients.idle_without_request) == 1
 
 
@@ -149,7 +149,7 @@
         await client.reader.readexactly(len(LONG) - 1000 + 2)
         assert await client.answer() == b"second"
         assert connection.is_reading
-    assert entered[:6] == [*UNTIL_STREAMING, ANSWERING, IDLE, TAKING]
+    assert entered[:6] == [*UNTIL_STREAMING, ANSWERING, IDLE, PROCESSING]
 
 
 @pytest.mark.parametrize(
@@ -177,13 +177,13 @@
         (connection,) = gateway.clients.connections
         connection.close()
         assert not gateway.guard.refusals
-        connection.shut()
+        connection.close_gracefully()
         assert gateway.guard.refusals == {Refusal.ANSWER_OWED: 1}
         assert connection.state is ANSWERING
         assert not gateway.clients.metrics.closes
         backend.writers[0].write(value(b"late"))
         assert await client.answer() == b"late"
-        assert entered == [TAKING, ANSWERING, IDLE]
+        assert entered == [PROCESSING, ANSWERING, IDLE]
 
 
 async def test_client_half_closes_while_an_answer_is_owed(entered: list[ConnectionState]) -> None:
@@ -196,7 +196,7 @@
         assert await client.ended()
         await until(lambda: LOST in entered)
         assert not gateway.requests.open
-    assert entered == [TAKING, ANSWERING, CLIENT_LEFT, LOST]
+    assert entered == [PROCESSING, ANSWERING, CLIENT_LEFT, LOST]
 
 
 async def test_error_line_waits_for_what_is_owed_before_it(entered: list[ConnectionState]) -> None:
@@ -216,7 +216,7 @@
         assert str(await client.answer()).startswith("-ERR Protocol error")
         assert await client.ended()
         await until(lambda: LOST in entered)
-    assert entered == [TAKING, FINISHING, CLOSING, LOST]
+    assert entered == [PROCESSING, FINISHING, CLOSING, LOST]
 
 
 async def test_unread_bytes_at_the_close_make_it_linger(entered: list[ConnectionState]) -> None:
@@ -228,7 +228,7 @@
         assert await client.ended()
         client.writer.transport.abort()
         await until(lambda: not gateway.clients.connections)
-    assert entered[:3] == [TAKING, FINISHING, LINGERING]
+    assert entered[:3] == [PROCESSING, FINISHING, LINGERING]
     assert entered[-1] is LOST
 
 
@@ -257,7 +257,7 @@
         silent, half = await Client.open(address), await Client.open(address)
         half.send(query("a1")[:9])
         await until(lambda: any(one.reader.buffer for one in gateway.clients.connections))
-        assert entered == [TAKING, IDLE]
+        assert entered == [PROCESSING, IDLE]
         now_s += 10
         gateway.clients.sweeper.sweep()
         assert await silent.ended()
--- a/tests/proxy/test_graceful_drain.py
+++ b/tests/proxy/test_graceful_drain.py
@@ -106,7 +106,7 @@
         while not gateway.clients.backlog.unsent_bytes:
             await asyncio.sleep(0)
         draining = await start_drain(gateway)
-        while not gateway.clients.reads_no_more:
+        while not gateway.clients.is_reading_stopped:
             await asyncio.sleep(0)
         assert not draining.done()
         slow.writer.transport.resume_reading()
@@ -128,7 +128,7 @@
         while len(gateway.core.queue) < 2:
             await asyncio.sleep(0)
         draining = await start_drain(gateway)
-        while not gateway.clients.reads_no_more:
+        while not gateway.clients.is_reading_stopped:
             await asyncio.sleep(0)
         for number in range(3):
             while len(backend.commands) <= number:
@@ -170,7 +170,7 @@
         while not any(one.reader.buffer for one in gateway.clients.connections):
             await asyncio.sleep(0)
         draining = await start_drain(gateway)
-        while not gateway.clients.reads_no_more:
+        while not gateway.clients.is_reading_stopped:
             await asyncio.sleep(0)
         client.send(first[-1:] + query("a1") + query("a2"))
         assert str(await client.answer()).startswith("-ERR")
--- a/tests/proxy/test_guards.py
+++ b/tests/proxy/test_guards.py
@@ -255,7 +255,7 @@
 async def test_close_while_an_answer_is_owed_is_refused() -> None:
     async with held_request(query("a1")) as (gateway, exchange, _):
         connection = exchange.reply.connection
-        connection.shut()
+        connection.close_gracefully()
         assert gateway.guard.refusals == {Refusal.ANSWER_OWED: 1}
         assert not connection.transport.is_closing()
 
@@ -338,5 +338,5 @@
         reply = gateway.requests.open["a1"].reply
         reply.connection.is_reading = False
         kernel_socket(client.writer).shutdown(socket.SHUT_RDWR)
-        assert reply.end_if_client_left(may_be_unread=False)
+        assert reply.close_if_client_left(may_be_unread=False)
         assert not gateway.requests.open
