--- a/orchidhatch/control/controller/command.py
+++ b/orchidhatch/control/controller/command.py
@@ -26,8 +26,8 @@
     """Run a controller until SIGTERM or SIGINT, then release all its claims."""
     controller = Controller(options.id, options.registry, options.agent, options.lease_ms)
     stop_requested = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, stop_requested.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        asyncio.get_running_loop().add_signal_handler(signal_number, stop_requested.set)
     work = asyncio.create_task(controller.run())
     stop = asyncio.create_task(stop_requested.wait())
     log.info("controller started: id=%s pid=%d", options.id, os.getpid())
--- a/orchidhatch/control/controller/drain.py
+++ b/orchidhatch/control/controller/drain.py
@@ -49,7 +49,7 @@
     async def _withdraw(self, context: TaskContext) -> None:
         """Withdraw the endpoint at all gateways.
 
-        Gateways that cannot be reached do not delay the drain, as the endpoint list also shows it to them.
+        Gateways that cannot be reached do not delay the drain, as they learn of it from the endpoint list.
         """
         failed_agents = await context.command_gateways(self, self.record.instance_id, GatewayCommand.WITHDRAW)
         start_countdown(self.record, time.monotonic())
--- a/orchidhatch/control/controller/recurring.py
+++ b/orchidhatch/control/controller/recurring.py
@@ -32,8 +32,7 @@
 class LeaseExpiry(Task[LeaseExpiryRecord]):
     """Requests at each step that the registry removes endpoints with expired leases.
 
-    No state is stored: the registry knows which leases have expired, and a repeated request removes nothing
-    twice.
+    No state is stored: the registry knows which leases have expired, and a repeated request is harmless.
     """
 
     record_type = LeaseExpiryRecord
@@ -48,8 +47,7 @@
 class Summary(Task[SummaryRecord]):
     """Summarizes the metrics of all gateways at an interval.
 
-    The samples from which increases are computed are kept in this process, so a new owner starts without
-    them.
+    The samples from which increases are computed are kept in this process; a new owner starts without any.
     """
 
     record_type = SummaryRecord
--- a/orchidhatch/control/controller/service.py
+++ b/orchidhatch/control/controller/service.py
@@ -43,7 +43,7 @@
         )
 
     async def run(self) -> None:
-        """Hold a session and carry out tasks until cancelled; an unexpected error in either ends both."""
+        """Hold a session and carry out tasks until cancelled; an unexpected session error ends both."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self.session.keep_open())
             group.create_task(self._work())
--- a/orchidhatch/control/controller/shard_assignment.py
+++ b/orchidhatch/control/controller/shard_assignment.py
@@ -35,8 +35,7 @@
     capacity = -(-len(preferences) // len(holder_names))
     load: Counter[str] = Counter()
     owners: dict[str, str] = {}
-    # Shards with the strongest first preference are assigned first, so that those with the weakest one
-    # overflow.
+    # Shards with the strongest first preference come first, so that those with the weakest one overflow.
     for shard in sorted(preferences, key=lambda shard: rank(shard, preferences[shard][0])):
         ranked = preferences[shard]
         candidates = [name for name in ranked if name != excluded.get(shard)] or ranked
--- a/orchidhatch/control/controller/shards.py
+++ b/orchidhatch/control/controller/shards.py
@@ -125,8 +125,7 @@
         """Release or take one shard if its owner differs from the assigned one."""
         if claim.suspended:
             return
-        # Taken from the registry's state, not from the owned shards, as the reply to a release may have been
-        # lost.
+        # By the registry's state and not by the owned shards, as the reply to a release may have been lost.
         is_held_here = bool(claim.holder) and claim.incarnation == self._session.incarnation
         if is_held_here and owner != self._session.holder:
             await self.release(claim.name, claim.epoch)
--- a/orchidhatch/control/controller/task.py
+++ b/orchidhatch/control/controller/task.py
@@ -1,8 +1,7 @@
 """The base of the fleet controller's tasks: a stored record, and steps that each make at most one change.
 
 One step stores the state that stands for an action, and the next step carries out the action. All actions are
-idempotent and are repeated until their result is stored, so any controller can resume a task that was
-interrupted.
+idempotent and are repeated until their result is stored, so any controller can resume an interrupted task.
 """
 
 from collections.abc import Sequence
--- a/orchidhatch/control/controller/task_records.py
+++ b/orchidhatch/control/controller/task_records.py
@@ -21,8 +21,7 @@
 KIND_FIELD = "kind"
 MAX_QUOTED_CHARACTERS = 100
 MAX_QUOTED_NAME_CHARACTERS = 80
-# These fields come last in each record's text, as in earlier versions; the fault trials read fields near its
-# start.
+# These fields end each record's text, as in earlier versions; fault trials look for a state near its start.
 TRAILING_FIELDS = ("state", "done", "told")
 
 
--- a/orchidhatch/control/policy/fleet_status.py
+++ b/orchidhatch/control/policy/fleet_status.py
@@ -17,8 +17,8 @@
 class GatewayState(StrEnum):
     """The state of a gateway's policy lease.
 
-    A present gateway holds a valid lease, a silent one may still serve, and an absent one cannot serve any
-    more.
+    A present gateway holds a valid lease, a silent one may still serve, and an absent one can no longer
+    serve.
     """
 
     PRESENT = "present"
--- a/orchidhatch/control/policy/gateway_policy_leases.py
+++ b/orchidhatch/control/policy/gateway_policy_leases.py
@@ -157,13 +157,13 @@
     # --- timed checks and completed writes ---
 
     def check(self) -> None:
-        """Carry out what depends on time alone; called every second."""
+        """Repeat or activate decisions that are due; called every second."""
         self._complete_decision()
         if not self.current_decision.is_certain() or not self._host.accepts_writes():
             return
         remaining_s = self.current_decision.remaining_s()
-        is_over = remaining_s is not None and remaining_s <= 0
-        if is_over and not self.current_decision.is_recorded_as_activated():
+        is_activated = remaining_s is not None and remaining_s <= 0
+        if is_activated and not self.current_decision.is_recorded_as_activated():
             number = self.current_decision.get().number
             self._host.enqueue_internal(PutRecord(ACTIVATED_RECORD, str(number)))
 
--- a/orchidhatch/control/policy/timing.py
+++ b/orchidhatch/control/policy/timing.py
@@ -1,8 +1,7 @@
 """Time limits that bound how long a gateway may admit requests after its policy lease was last renewed.
 
 All are in seconds. Each of them bounds one delay from the last renewal of the lease to the point where the
-gateway admits no more requests. Their sum, with a clock tolerance, is ABSENT_AFTER_S, which policy changes
-rely on.
+gateway admits no more requests. Policy changes rely on their sum, with a clock tolerance: ABSENT_AFTER_S.
 """
 
 # How long a renewal permits the gateway to serve, counted from when the renewal was sent.
