--- a/orchidhatch/gateway/counted_grants.py
+++ b/orchidhatch/gateway/counted_grants.py
@@ -49,7 +49,7 @@
     def _forget_old(self, now_us: int) -> None:
         oldest_us = now_us - COUNTED_GRANT_TTL_US
         while self.grants:
-            name, grant = next(iter(self.grants.items()))
+            key, grant = next(iter(self.grants.items()))
             if grant.counted_us >= oldest_us:
                 return
-            del self.grants[name]
+            del self.grants[key]
--- a/orchidhatch/gateway/gossip.py
+++ b/orchidhatch/gateway/gossip.py
@@ -14,20 +14,20 @@
 MAX_PLAN_INDEX = 255
 """The greatest index of a plan that a message can name."""
 
-AMOUNT_STEPS = 50
+STEPS_PER_UNIT = 50
 """The steps of a unit in which a message says amounts."""
 
 MAX_AMOUNT_STEPS = 32767
 """The greatest amount that a message says, in steps; it stands for any greater one too."""
 
-MAX_AMOUNT_UNITS = MAX_AMOUNT_STEPS / AMOUNT_STEPS
+MAX_AMOUNT_UNITS = MAX_AMOUNT_STEPS / STEPS_PER_UNIT
 """The same in units."""
 
 
 TOTAL_STEPS = 1 << 24
 """The steps in which a total of spent units counts, after which it begins again at 0."""
 
-TOTAL_UNITS = TOTAL_STEPS / AMOUNT_STEPS
+TOTAL_UNITS = TOTAL_STEPS / STEPS_PER_UNIT
 """The same in units."""
 
 SEQUENCE_NUMBERS = 1 << 6
@@ -129,12 +129,12 @@
         return MessageKind.REPORT
 
     @property
-    def is_level_cut(self) -> bool:
+    def is_level_clamped(self) -> bool:
         """Whether the sender's level may be greater than the message can say."""
         return self.level >= MAX_AMOUNT_UNITS
 
     @property
-    def answers_grant_request(self) -> bool:
+    def is_grant_answer(self) -> bool:
         """Whether this is the leader's answer to a grant request."""
         return self.is_answer and self.requested > 0
 
--- a/orchidhatch/gateway/gossip_codec.py
+++ b/orchidhatch/gateway/gossip_codec.py
@@ -9,9 +9,9 @@
 from collections.abc import Iterable, Iterator, Sequence
 
 from orchidhatch.gateway.gossip import (
-    AMOUNT_STEPS,
     MAX_AMOUNT_STEPS,
     MAX_PLAN_INDEX,
+    STEPS_PER_UNIT,
     AttemptObservation,
     GossipMessage,
     SlotGrant,
@@ -24,13 +24,13 @@
     unpack_totals,
 )
 
-HEAD = 0xA0
-HEAD_WITH_MARK = 0xB0
+HEADER = 0xA0
+HEADER_WITH_MARK = 0xB0
 
-KIND_BITS = 0xF0
+HEADER_TYPE_MASK = 0xF0
 """The bits of the head that tell the two kinds; the others count the messages."""
 
-HEAD_BYTES = 2
+HEADER_BYTES = 2
 DATAGRAM_BYTES = 256
 MESSAGE = struct.Struct("!IBHHBhhhhB")
 OBSERVATION = struct.Struct("!HBB")
@@ -63,7 +63,7 @@
     if not named:
         return []
     datagrams = [
-        head_of(len(chunk), policy_mark) + b"".join(map(pack_gossip, chunk)) + pack_totals(chunk)
+        pack_header(len(chunk), policy_mark) + b"".join(map(pack_gossip, chunk)) + pack_totals(chunk)
         for chunk in split_messages(named)
     ]
     capacity = (DATAGRAM_BYTES - len(datagrams[-1])) // OBSERVATION.size
@@ -80,26 +80,26 @@
     """The messages of each datagram, as many as it holds with their totals."""
     total_bytes = TOTAL_BYTES if has_totals(messages) else 0
     chunk: list[GossipMessage] = []
-    free_bytes = DATAGRAM_BYTES - HEAD_BYTES
+    free_bytes = DATAGRAM_BYTES - HEADER_BYTES
     for message in messages:
         message_bytes = MESSAGE.size if message.is_answer else MESSAGE.size + total_bytes
         if message_bytes > free_bytes:
             yield chunk
             chunk = []
-            free_bytes = DATAGRAM_BYTES - HEAD_BYTES
+            free_bytes = DATAGRAM_BYTES - HEADER_BYTES
         chunk.append(message)
         free_bytes -= message_bytes
     yield chunk
 
 
-def head_of(count: int, policy_mark: int) -> bytes:
+def pack_header(count: int, policy_mark: int) -> bytes:
     """The head of a datagram with so many messages."""
-    return bytes([HEAD_WITH_MARK | count, policy_mark] if policy_mark else [HEAD | count])
+    return bytes([HEADER_WITH_MARK | count, policy_mark] if policy_mark else [HEADER | count])
 
 
 def amount_steps(units: float) -> int:
     """An amount as it goes over the wire; one beyond its range is cut to it."""
-    return max(MIN_AMOUNT_STEPS, min(MAX_AMOUNT_STEPS, round(units * AMOUNT_STEPS)))
+    return max(MIN_AMOUNT_STEPS, min(MAX_AMOUNT_STEPS, round(units * STEPS_PER_UNIT)))
 
 
 def requested_steps(units: float) -> int:
@@ -112,13 +112,13 @@
 
 def pack_gossip(message: GossipMessage) -> bytes:
     """One message: the kind of message, the slot grant and the grant number share a byte."""
-    kind = message.is_answer | message.slot_grant << SLOT_GRANT_SHIFT
+    flags = message.is_answer | message.slot_grant << SLOT_GRANT_SHIFT
     return MESSAGE.pack(
         message.customer,
         message.plan_index,
         message.set_first,
         message.set_size,
-        kind | message.grant_number << GRANT_NUMBER_SHIFT,
+        flags | message.grant_number << GRANT_NUMBER_SHIFT,
         amount_steps(message.demand),
         amount_steps(message.spent),
         requested_steps(message.requested),
@@ -138,22 +138,24 @@
 
 def mark_of(data: bytes) -> int:
     """The mark of the policy that a datagram goes by; 0 for none."""
-    return data[1] if len(data) > 1 and data[0] & KIND_BITS == HEAD_WITH_MARK else 0
+    return data[1] if len(data) > 1 and data[0] & HEADER_TYPE_MASK == HEADER_WITH_MARK else 0
 
 
 def unpack_message(data: bytes) -> tuple[tuple[GossipMessage, ...], tuple[AttemptObservation, ...]]:
     """The messages and observations of a datagram; none where it is malformed."""
     if mark_of(data):
-        data = bytes([data[0] ^ HEAD_WITH_MARK ^ HEAD]) + data[2:]
-    end = 1 + (data[0] ^ HEAD) * MESSAGE.size if data else 0
+        data = bytes([data[0] ^ HEADER_WITH_MARK ^ HEADER]) + data[2:]
+    end = 1 + (data[0] ^ HEADER) * MESSAGE.size if data else 0
     holds_messages = 1 < end <= len(data) <= DATAGRAM_BYTES
     if not holds_messages or (len(data) - end) % OBSERVATION.size:
         return (), ()
     messages = tuple(unpack_gossip(*values) for values in MESSAGE.iter_unpack(data[1:end]))
-    messages, rest = unpack_totals(messages, data[end:])
+    messages, observation_data = unpack_totals(messages, data[end:])
     observations = tuple(
-        AttemptObservation(server, kind >> 1, bool(kind & 1), latency / LATENCY_STEPS)
-        for server, kind, latency in OBSERVATION.iter_unpack(rest)
+        AttemptObservation(
+            server, class_and_success >> 1, bool(class_and_success & 1), latency / LATENCY_STEPS
+        )
+        for server, class_and_success, latency in OBSERVATION.iter_unpack(observation_data)
     )
     return messages, observations
 
@@ -163,7 +165,7 @@
     plan_index: int,
     set_first: int,
     set_size: int,
-    kind: int,
+    flags: int,
     demand: int,
     spent: int,
     requested: int,
@@ -171,18 +173,18 @@
     in_flight: int,
 ) -> GossipMessage:
     """A message from the values of its struct, in their order; a grant that is not known is none."""
-    slot_grant = kind >> SLOT_GRANT_SHIFT & SLOT_GRANT_MASK
+    slot_grant = flags >> SLOT_GRANT_SHIFT & SLOT_GRANT_MASK
     return GossipMessage(
         customer,
         plan_index,
         set_first,
         set_size,
-        bool(kind & 1),
-        demand / AMOUNT_STEPS,
-        spent / AMOUNT_STEPS,
-        requested / AMOUNT_STEPS,
-        level / AMOUNT_STEPS,
+        bool(flags & 1),
+        demand / STEPS_PER_UNIT,
+        spent / STEPS_PER_UNIT,
+        requested / STEPS_PER_UNIT,
+        level / STEPS_PER_UNIT,
         in_flight,
         SlotGrant(slot_grant) if slot_grant in SLOT_GRANTS else SlotGrant.NONE,
-        kind >> GRANT_NUMBER_SHIFT,
+        flags >> GRANT_NUMBER_SHIFT,
     )
--- a/orchidhatch/gateway/grant_requests.py
+++ b/orchidhatch/gateway/grant_requests.py
@@ -166,7 +166,7 @@
     def __init__(self, quota: QuotaBuckets) -> None:
         self.quota = quota
         # The last request of each number.
-        self.numbered: dict[int, GrantRequest] = {}
+        self.by_number: dict[int, GrantRequest] = {}
 
     def has_free_number(self, now_us: int) -> bool:
         """Whether one more request may be opened."""
@@ -178,28 +178,28 @@
         if number is None:
             raise ValueError("all numbers of grant requests are in use")
         grant = GrantRequest(self.quota, number, units, now_us)
-        self.numbered[number] = grant
+        self.by_number[number] = grant
         return grant
 
-    def answered(self, number: int, units: float, now_us: int) -> GrantRequest | None:
+    def find_answered(self, number: int, units: float, now_us: int) -> GrantRequest | None:
         """The grant request that an answer is for; None where the number names one of other units.
 
         Where the number names none, an earlier process of this gateway has asked. It spends nothing any
         more, so that its request is settled with nothing spent.
         """
-        grant = self.numbered.get(number)
+        grant = self.by_number.get(number)
         if grant is None:
             grant = GrantRequest(self.quota, number, units, now_us)
             grant.state = GrantState.SETTLED
-            self.numbered[number] = grant
+            self.by_number[number] = grant
         return grant if grant.matches(units) else None
 
-    def answered_unnumbered(self, units: float) -> GrantRequest | None:
+    def find_answered_unnumbered(self, units: float) -> GrantRequest | None:
         """The request that an answer of a leader of the version before is for, None for a duplicate.
 
         It is the first of so many units that awaits an answer; those that are not decided yet go before.
         """
-        in_order = sorted(self.numbered.values(), key=lambda grant: grant.opened_us)
+        in_order = sorted(self.by_number.values(), key=lambda grant: grant.opened_us)
         for state in GrantState:
             for grant in in_order:
                 if grant.state is state and grant.awaits_answer() and grant.matches(units):
@@ -208,14 +208,14 @@
 
     def in_use(self, now_us: int) -> list[GrantRequest]:
         """The grant requests whose numbers may not name another one yet."""
-        return [grant for number, grant in self.numbered.items() if not self._is_free(number, now_us)]
+        return [grant for number, grant in self.by_number.items() if not self._is_free(number, now_us)]
 
     def restore(self, snapshot: GrantRequestSnapshot) -> None:
         """Go on from a predecessor's request: only answers that it did not get change what was counted.
 
         Not where a request that was opened here has the number.
         """
-        same_number = self.numbered.get(snapshot.number)
+        same_number = self.by_number.get(snapshot.number)
         if same_number is not None and same_number.opened_us != snapshot.opened_us:
             return
         grant = GrantRequest(self.quota, snapshot.number, snapshot.units, snapshot.opened_us)
@@ -223,7 +223,7 @@
         grant.counted = snapshot.counted
         grant.spent = snapshot.spent
         grant.answers = 1 if snapshot.counted else 0
-        self.numbered[snapshot.number] = grant
+        self.by_number[snapshot.number] = grant
 
     def _free_number(self, now_us: int, offset: int = 0) -> int | None:
         first = now_us // GRANT_NUMBER_STEP_US + offset
@@ -231,7 +231,7 @@
         return next((number for number in candidates if self._is_free(number, now_us)), None)
 
     def _is_free(self, number: int, now_us: int) -> bool:
-        grant = self.numbered.get(number)
+        grant = self.by_number.get(number)
         if grant is None:
             return True
         is_old = now_us - grant.opened_us >= GRANT_NUMBER_REUSE_US
--- a/orchidhatch/gateway/leader_slots.py
+++ b/orchidhatch/gateway/leader_slots.py
@@ -107,7 +107,7 @@
         self.granted.setdefault(peer, []).append(GrantedSlot(now_us, request))
         return request.units
 
-    def grant_again(self, peer: int, number: int, now_us: int) -> SlotRequest | None:
+    def repeat_grant(self, peer: int, number: int, now_us: int) -> SlotRequest | None:
         """The request of that number, granted already and not used since, whose slot is granted from now on.
 
         None where there is no such request; one without a number is a new request each time.
--- a/orchidhatch/gateway/member_slot.py
+++ b/orchidhatch/gateway/member_slot.py
@@ -7,7 +7,7 @@
 import math
 from enum import Enum, auto
 
-from orchidhatch.gateway.gossip import AMOUNT_STEPS, MAX_GRANT_NUMBER, NO_GRANT_NUMBER
+from orchidhatch.gateway.gossip import MAX_GRANT_NUMBER, NO_GRANT_NUMBER, STEPS_PER_UNIT
 from orchidhatch.gateway.grant_requests import GRANT_NUMBER_STEP_US
 from orchidhatch.gateway.leader_requests import LEADER_REPLY_TIMEOUT_US, MAX_LEADER_REQUESTS
 from orchidhatch.gateway.times import NEVER, S
@@ -15,7 +15,7 @@
 QUEUED_RETRY_US = S // 2
 """After how long a request that the leader has queued is repeated, as messages are lost."""
 
-RENEWAL_US = 0.6 * S
+RENEWAL_INTERVAL_US = 0.6 * S
 """How often attempts in flight are reported again; under the leader's IN_FLIGHT_REPORT_TTL_US."""
 
 SLOT_ONLY_UNITS = 0.02
@@ -24,7 +24,7 @@
 MIN_CEILING_UNITS = 0.04
 """The least that is requested of the ceiling with a slot: less arrives as SLOT_ONLY_UNITS."""
 
-STEP_DIGITS = 6
+STEP_DECIMALS = 6
 """The digits after the point to which an amount's steps are exact: those of a float's rounding are cut."""
 
 
@@ -35,8 +35,8 @@
     """
     if not ceiling_units:
         return SLOT_ONLY_UNITS
-    steps = math.ceil(round(ceiling_units * AMOUNT_STEPS, STEP_DIGITS))
-    return max(MIN_CEILING_UNITS, steps / AMOUNT_STEPS)
+    steps = math.ceil(round(ceiling_units * STEPS_PER_UNIT, STEP_DECIMALS))
+    return max(MIN_CEILING_UNITS, steps / STEPS_PER_UNIT)
 
 
 def ceiling_units_of(requested: float) -> float:
@@ -189,10 +189,10 @@
 
     def is_renewal_due(self, now_us: int) -> bool:
         """Whether attempts in flight are to be reported again."""
-        return now_us - self.reported_us >= RENEWAL_US
+        return now_us - self.reported_us >= RENEWAL_INTERVAL_US
 
     def due_us(self) -> float:
         """When the attempts in flight are to be reported, or an unused slot is to be given back."""
         if self.granted_us == -NEVER:
-            return self.reported_us + RENEWAL_US
+            return self.reported_us + RENEWAL_INTERVAL_US
         return self.granted_us + LEADER_REPLY_TIMEOUT_US
--- a/orchidhatch/gateway/peer_outbox.py
+++ b/orchidhatch/gateway/peer_outbox.py
@@ -45,7 +45,7 @@
         # The last observations with the times of their ends; by peer, how many of all it has been sent.
         self.observations: deque[tuple[int, AttemptObservation]] = deque(maxlen=OBSERVATIONS_LIMIT)
         self.observed_count = 0
-        self.sent_count: dict[int, int] = {}
+        self.sent_counts: dict[int, int] = {}
 
     def add(self, peer: int, message: GossipMessage) -> None:
         """Queue a message for a peer; where too many wait, the oldest is dropped.
@@ -91,8 +91,8 @@
 
     def unsent_observations(self, peer: int) -> tuple[AttemptObservation, ...]:
         """The observations that a peer has not been sent, up to the age of the longest control period."""
-        unsent_count = self.observed_count - self.sent_count.get(peer, 0)
-        self.sent_count[peer] = self.observed_count
+        unsent_count = self.observed_count - self.sent_counts.get(peer, 0)
+        self.sent_counts[peer] = self.observed_count
         first = max(0, len(self.observations) - unsent_count)
         return tuple(
             observation
--- a/orchidhatch/gateway/quota.py
+++ b/orchidhatch/gateway/quota.py
@@ -27,7 +27,7 @@
 """The fraction of the burst that is reserved for requests to the leader, not spent by older answers."""
 
 
-def plan_share(plan: Plan, size: int) -> Plan:
+def split_plan(plan: Plan, size: int) -> Plan:
     """The plan of one of `size` gateways that do not gossip; its burst holds one request at least."""
     if size == 1:
         return plan
@@ -53,7 +53,7 @@
 
     def __init__(self, plan: Plan, key: CustomerKey, settings: Settings, now_us: int) -> None:
         self.key = key
-        self.plan = plan if settings.may_gossip else plan_share(plan, key.set_size)
+        self.plan = plan if settings.may_gossip else split_plan(plan, key.set_size)
         self.size = key.set_size if settings.may_gossip else 1
         self.is_isolated = self.size < key.set_size
         self.leader = settings.gateway_index
@@ -79,13 +79,13 @@
         self.last_answer_us = -NEVER
         self.max_requests_per_s = REQUEST_INTAKE_FRACTION * settings.peer_messages_per_s
         # For how long an answer is used where demand exceeds the requests that the leader can receive.
-        self.answer_use_us = self.size * S / max(1.0, self.max_requests_per_s)
+        self.answer_reuse_us = self.size * S / max(1.0, self.max_requests_per_s)
 
     def change_plan(self, plan: Plan, plan_index: int, now_us: int) -> None:
         """Go on under another plan; levels and debts scale with the burst, granted slots stay granted."""
         self.refill(now_us)
         self.key = self.key._replace(plan_index=plan_index)
-        self.plan = plan_share(plan, self.key.set_size) if self.is_isolated else plan
+        self.plan = split_plan(plan, self.key.set_size) if self.is_isolated else plan
         self.quota.change_plan(self.plan)
         self.ceiling.change_plan(self.plan)
         if self.needs_leader_slots() and not self.ceiling.ceded_until_us:
@@ -126,17 +126,17 @@
                 return float(level >= units)
             if not self.has_fresh_answer(self.refilled_us):
                 return float(self.quota.has_allowance(units))
-            level = self.unrequested_level()
+            level = self.level_for_local_decisions()
         if not self.plan.rate:
             return 1.0
         quota = level + self.plan.rate * DEMAND_DECAY_US / S
         return max(0.0, min(1.0, quota / max(units, self.demand.units)))
 
-    def unrequested_level(self) -> float:
+    def level_for_local_decisions(self) -> float:
         """What requests to the leader leave of the level, over the decay time, to those without one."""
         reserved = RESERVED_BURST_FRACTION * self.plan.burst
         requested = min(self.plan.rate, self.max_requests_per_s) * DEMAND_DECAY_US / S
-        return (self.quota.set_level - reserved) * DEMAND_DECAY_US / self.answer_use_us - requested
+        return (self.quota.set_level - reserved) * DEMAND_DECAY_US / self.answer_reuse_us - requested
 
     def has_local_share(self, units: float) -> bool:
         """Whether the local share holds so many units."""
@@ -161,7 +161,7 @@
 
     def spend(self, units: float) -> None:
         """Take units from the bucket of the set; negative units return some."""
-        self.quota.spend_of_set(units)
+        self.quota.spend_from_set(units)
 
     def count_grant(self, units: float) -> None:
         """Take the units of a grant that is decided here from the bucket of the set."""
@@ -211,9 +211,9 @@
         self.quota.update_set_level(level)
         self.backoff.reset()
 
-    def back_off(self, now_us: int, chance: float) -> None:
+    def back_off(self, now_us: int, jitter: float) -> None:
         """The leader did not answer: request nothing for a while, with `chance` from 0 to 1 as jitter."""
-        self.backoff.back_off(now_us, chance)
+        self.backoff.back_off(now_us, jitter)
 
     # --- rate ceiling ---
 
@@ -231,7 +231,7 @@
 
     def charge_ceiling(self, units: float) -> None:
         """A first attempt of a request of so many units is sent."""
-        self.ceiling.take(units)
+        self.ceiling.draw(units)
 
     def refund_ceiling(self, units: float) -> None:
         """A first attempt of so many units was not sent."""
@@ -300,7 +300,7 @@
     def grant_slot(self, peer: int, now_us: int) -> float:
         """At the leader: grant a queued request; returns the units of the ceiling that it asked for."""
         units = self.leader_slots.grant(peer, now_us)
-        self.ceiling.take(ceiling_units_of(units))
+        self.ceiling.draw(ceiling_units_of(units))
         return units
 
     def on_slot_answer(self, answer: SlotGrant, units: float, number: int, now_us: int) -> None:
--- a/orchidhatch/gateway/quota_buckets.py
+++ b/orchidhatch/gateway/quota_buckets.py
@@ -75,7 +75,7 @@
         missing = min(units, self.max_allowance()) - self.allowance
         return max(0.0, missing) * self.size / self.plan.rate * S
 
-    def spend_of_set(self, units: float) -> None:
+    def spend_from_set(self, units: float) -> None:
         """Take units from the bucket of the set.
 
         Its debt is bounded, as what other gateways spent is known late; an isolated gateway knows it all.
@@ -93,7 +93,7 @@
         A request above the allowance's capacity leaves a debt of the rest. A debt that is there stays:
         neither a smaller request nor one that is given back makes it less than by its own units.
         """
-        self.spend_of_set(units)
+        self.spend_from_set(units)
         self.unreported_spend += units
         self.local_share = max(0.0, self.local_share - units)
         allowance_floor = min(0.0, self.max_allowance() - units, self.allowance)
--- a/orchidhatch/gateway/quota_leader.py
+++ b/orchidhatch/gateway/quota_leader.py
@@ -11,7 +11,7 @@
 from orchidhatch.gateway.quota import Customer
 from orchidhatch.gateway.snapshots import CustomerKey
 
-QueuesUnsent = Callable[[Customer], bool]
+HasUnsentRequest = Callable[[Customer], bool]
 
 
 class QuotaLeader:
@@ -20,10 +20,12 @@
     `queues_unsent` says whether a request of a customer is queued here, never sent, and so needs a slot too.
     """
 
-    def __init__(self, context: DecisionContext, outbox: PeerOutbox, queues_unsent: QueuesUnsent) -> None:
+    def __init__(
+        self, context: DecisionContext, outbox: PeerOutbox, has_unsent_request: HasUnsentRequest
+    ) -> None:
         self.context = context
         self.outbox = outbox
-        self.queues_unsent = queues_unsent
+        self.has_unsent_request = has_unsent_request
         # Customers that other gateways wait for a slot of.
         self.slot_queues: dict[CustomerKey, Customer] = {}
 
@@ -35,14 +37,14 @@
         slot_grant: SlotGrant = SlotGrant.NONE,
     ) -> None:
         """Send a gateway the demand and the level of the whole set; `requested` says what is answered."""
-        self.send(peer, customer, self.answer_message(peer, customer, requested, slot_grant))
+        self.send(peer, customer, self.build_answer(peer, customer, requested, slot_grant))
 
-    def answer_slot(self, peer: int, customer: Customer, units: float, number: int) -> None:
+    def send_slot_grant(self, peer: int, customer: Customer, units: float, number: int) -> None:
         """Grant a gateway a slot and so many units of the ceiling, by its request of that number."""
-        answer = self.answer_message(peer, customer, -units, SlotGrant.GRANTED)
+        answer = self.build_answer(peer, customer, -units, SlotGrant.GRANTED)
         self.send(peer, customer, replace(answer, grant_number=number))
 
-    def answer_message(
+    def build_answer(
         self,
         peer: int,
         customer: Customer,
@@ -116,15 +118,17 @@
         requested = message.requested
         earlier = customer.counted_grants.find(sender, number, requested, now_us)
         if earlier is not None:
-            self.answer_with(customer, message, sender, earlier.counted, already_counted=earlier.counted)
+            self.send_grant_answer(
+                customer, message, sender, earlier.counted, already_counted=earlier.counted
+            )
             return 0.0
         is_granted = self.context.random.random() < customer.chance(requested)
         counted = requested if is_granted else 0.0
         customer.counted_grants.add(sender, number, CountedGrant(requested, counted, now_us))
-        self.answer_with(customer, message, sender, counted)
+        self.send_grant_answer(customer, message, sender, counted)
         return counted
 
-    def answer_with(
+    def send_grant_answer(
         self,
         customer: Customer,
         message: GossipMessage,
@@ -134,7 +138,7 @@
     ) -> None:
         """Answer a numbered grant request; `already_counted` is what the level here lacks for it."""
         answer = replace(
-            self.answer_message(sender, customer, message.requested),
+            self.build_answer(sender, customer, message.requested),
             spent=counted,
             level=customer.quota.set_level + already_counted,
             grant_number=message.grant_number,
@@ -143,11 +147,11 @@
 
     def answer_slot_request(self, customer: Customer, message: GossipMessage, sender: int) -> None:
         """Queue a request for a slot, or answer it once more if it was granted already."""
-        granted = customer.leader_slots.grant_again(sender, message.grant_number, self.context.now_us)
+        granted = customer.leader_slots.repeat_grant(sender, message.grant_number, self.context.now_us)
         if granted is None:
             self.queue_slot_request(customer, message, sender, message.grant_number)
         else:
-            self.answer_slot(sender, customer, granted.units, granted.number)
+            self.send_slot_grant(sender, customer, granted.units, granted.number)
 
     def queue_slot_request(
         self, customer: Customer, message: GossipMessage, sender: int, number: int
@@ -165,18 +169,18 @@
         slots = customer.leader_slots
         peer = customer.next_slot_peer(now_us)
         while peer is not None:
-            if self.queues_unsent(customer) and self.is_turn_of_own_requests(len(slots.queue)):
+            if self.has_unsent_request(customer) and self.is_slot_for_own_requests(len(slots.queue)):
                 break
             number = slots.queue[peer].number
             units = customer.grant_slot(peer, now_us)
-            self.answer_slot(peer, customer, units, number)
+            self.send_slot_grant(peer, customer, units, number)
             peer = customer.next_slot_peer(now_us)
         if slots.queue:
             self.slot_queues[customer.key] = customer
         else:
             self.slot_queues.pop(customer.key, None)
 
-    def is_turn_of_own_requests(self, waiting_peers: int) -> bool:
+    def is_slot_for_own_requests(self, waiting_peers: int) -> bool:
         """Whether a free slot is left to the requests queued here, at random among all that wait."""
         return self.context.random.random() * (1 + waiting_peers) < 1
 
--- a/orchidhatch/gateway/quota_leaders.py
+++ b/orchidhatch/gateway/quota_leaders.py
@@ -8,7 +8,7 @@
 from orchidhatch.gateway.grant_requests import GrantRequest
 from orchidhatch.gateway.peer_outbox import PeerOutbox
 from orchidhatch.gateway.quota import Customer
-from orchidhatch.gateway.quota_leader import QueuesUnsent, QuotaLeader
+from orchidhatch.gateway.quota_leader import HasUnsentRequest, QuotaLeader
 from orchidhatch.gateway.quota_member import GrantAnswer, QuotaMember
 from orchidhatch.gateway.snapshots import CustomerKey
 from orchidhatch.gateway.times import S
@@ -23,9 +23,11 @@
     `queues_unsent` says whether a request of a customer is queued here, never sent, and so needs a slot too.
     """
 
-    def __init__(self, context: DecisionContext, outbox: PeerOutbox, queues_unsent: QueuesUnsent) -> None:
+    def __init__(
+        self, context: DecisionContext, outbox: PeerOutbox, has_unsent_request: HasUnsentRequest
+    ) -> None:
         self.context = context
-        self.leader = QuotaLeader(context, outbox, queues_unsent)
+        self.leader = QuotaLeader(context, outbox, has_unsent_request)
         self.member = QuotaMember(context, outbox, self.is_known)
         # In the order in which they were last seen.
         self.customers: dict[CustomerKey, Customer] = {}
@@ -41,11 +43,11 @@
         """The customer, as of now; a new one begins with what the time since the process's start allows."""
         customer = self.customers.pop(key, None)
         if customer is None:
-            customer = self.new_customer(key)
+            customer = self.create_customer(key)
         self.customers[key] = customer
         return customer.refill(self.context.now_us)
 
-    def new_customer(self, key: CustomerKey) -> Customer:
+    def create_customer(self, key: CustomerKey) -> Customer:
         """A customer that is seen for the first time, or was forgotten."""
         now_us = self.context.now_us
         settings = self.context.settings
@@ -59,7 +61,7 @@
         position = (settings.gateway_index - key.set_first) % settings.gateway_count
         return 0 <= key.plan_index < len(settings.plans) and position < key.set_size
 
-    def change_plans(self, moved: tuple[int, ...]) -> None:
+    def change_plans(self, new_indices: tuple[int, ...]) -> None:
         """Put each customer under its plan of the new settings: `moved` has the new index by the old one.
 
         Customers whose plan is no more, with an index below zero, are forgotten.
@@ -68,19 +70,19 @@
         customers = self.customers.values()
         self.customers = {}
         for customer in customers:
-            plan_index = moved[customer.key.plan_index]
+            plan_index = new_indices[customer.key.plan_index]
             if plan_index >= 0:
                 customer.change_plan(plans[plan_index], plan_index, self.context.now_us)
                 self.customers[customer.key] = customer
-        self.update_keys(self.leader.slot_queues)
-        self.update_keys(self.member.renewals)
+        self.rekey_customers(self.leader.slot_queues)
+        self.rekey_customers(self.member.renewals)
         self.member.forget_customers()
 
     def is_known(self, customer: Customer) -> bool:
         """Whether the customer was not forgotten since."""
         return self.customers.get(customer.key) is customer
 
-    def update_keys(self, customers: dict[CustomerKey, Customer]) -> None:
+    def rekey_customers(self, customers: dict[CustomerKey, Customer]) -> None:
         """Put a table under the new keys of its customers, without those that were forgotten."""
         remaining = [customer for customer in customers.values() if customer.key in self.customers]
         customers.clear()
@@ -155,7 +157,7 @@
         self,
         sender: int,
         messages: tuple[GossipMessage, ...],
-        answered: Callable[[GrantAnswer | None], None],
+        on_grant_answer: Callable[[GrantAnswer | None], None],
     ) -> None:
         """Take the messages of a gateway; `answered` gets the answer that a request for a grant waits for.
 
@@ -171,18 +173,18 @@
             customer = self.customer(key)
             if message.kind is MessageKind.LEADER_ANSWER:
                 if sender == customer.leader:
-                    answered(self.member.on_answer(customer, message))
+                    on_grant_answer(self.member.on_answer(customer, message))
             elif customer.is_leader:
                 newly_spent = customer.received_totals.count(sender, message, self.context.now_us)
-                if is_new and not message.is_level_cut:
-                    self.take_over_level(customer, message.level + newly_spent)
+                if is_new and not message.is_level_clamped:
+                    self.adopt_reported_level(customer, message.level + newly_spent)
                 self.leader.on_report(customer, message, sender, newly_spent)
                 reported[key] = customer
         for customer in reported.values():
             self.leader.grant_slots(customer)
             self.leader.answer_if_queued(sender, customer)
 
-    def take_over_level(self, customer: Customer, level_before: float) -> None:
+    def adopt_reported_level(self, customer: Customer, level_before: float) -> None:
         """Begin the count of a customer that is new here at a member's level before what it has spent newly.
 
         A message has the level after that, which is counted with the message.
@@ -220,7 +222,7 @@
     def renew(self) -> None:
         """Report attempts again that outlast the last report, give back slots and units, expire grants."""
         self.member.renew(self.report_in_flight)
-        self.member.send_due_returns()
+        self.member.send_due_reports()
         self.member.expire_presumed()
 
     def dues(self) -> list[float]:
--- a/orchidhatch/gateway/quota_member.py
+++ b/orchidhatch/gateway/quota_member.py
@@ -53,7 +53,7 @@
         # Grant requests that were decided on without an answer.
         self.presumed: list[PresumedGrant] = []
         # Customers with units to give back, or that no message could say yet, and by when to report them.
-        self.returns_us: dict[Customer, int] = {}
+        self.report_due_us: dict[Customer, int] = {}
 
     def report(self, customer: Customer) -> None:
         """Send the leader what was requested and spent here since the last message."""
@@ -97,31 +97,31 @@
             if grant.state is GrantState.PRESUMED:
                 grant.on_expired()
         self.presumed = []
-        self.returns_us = {}
+        self.report_due_us = {}
 
     def forget_customers(self) -> None:
         """Forget the grants and units of customers that are not known any more."""
         self.presumed = [presumed for presumed in self.presumed if self.is_known(presumed.customer)]
-        self.returns_us = {
-            customer: due_us for customer, due_us in self.returns_us.items() if self.is_known(customer)
+        self.report_due_us = {
+            customer: due_us for customer, due_us in self.report_due_us.items() if self.is_known(customer)
         }
 
     def return_soon(self, customer: Customer) -> None:
         """Report the customer's units to give back soon, if there are any and no other message does."""
         if customer.quota.unreported_spend < 0:
-            self.report_soon(customer)
+            self.schedule_report(customer)
 
-    def report_soon(self, customer: Customer) -> None:
+    def schedule_report(self, customer: Customer) -> None:
         """Report what is left to be said if no other message does, but see report_correction."""
         if not customer.is_leader and not customer.shares_slots():
-            self.returns_us.setdefault(customer, self.context.now_us + RETURN_DELAY_US)
+            self.report_due_us.setdefault(customer, self.context.now_us + RETURN_DELAY_US)
 
-    def send_due_returns(self) -> None:
+    def send_due_reports(self) -> None:
         """Report what no other message has said in time."""
         now_us = self.context.now_us
-        due = [customer for customer, due_us in self.returns_us.items() if due_us <= now_us]
+        due = [customer for customer, due_us in self.report_due_us.items() if due_us <= now_us]
         for customer in due:
-            del self.returns_us[customer]
+            del self.report_due_us[customer]
             if customer.quota.unreported_spend:
                 self.report(customer)
 
@@ -152,7 +152,7 @@
         self.add_message(customer, requested, grant_number)
         customer.demand.unreported_units = 0.0
         if customer.quota.unreported_spend:
-            self.report_soon(customer)
+            self.schedule_report(customer)
 
     def report_excess(self, customer: Customer) -> None:
         """Report what goes beyond the range of one message, not where the leader grants slots."""
@@ -196,8 +196,8 @@
             customer.on_slot_answer(message.slot_grant, -message.requested, message.grant_number, now_us)
         if message.slot_grant is SlotGrant.GRANTED:
             self.renewals[customer.key] = customer
-        answer = self.on_grant_answer(customer, message) if message.answers_grant_request else None
-        if message.is_level_cut:
+        answer = self.on_grant_answer(customer, message) if message.is_grant_answer else None
+        if message.is_level_clamped:
             customer.quota.raise_set_level(max_level)
         return answer
 
@@ -205,7 +205,7 @@
         """Settle the grant request that is answered; one that nothing waits for any more gives units back."""
         is_numbered = message.grant_number != NO_GRANT_NUMBER
         counted = counted_units(customer, message)
-        grant = self.answered_grant(customer, message)
+        grant = self.find_answered_grant(customer, message)
         if grant is None:
             return None
         is_awaited = grant.state is GrantState.AWAITED
@@ -220,12 +220,12 @@
             self.report_correction(customer)
         return None
 
-    def answered_grant(self, customer: Customer, message: GossipMessage) -> GrantRequest | None:
+    def find_answered_grant(self, customer: Customer, message: GossipMessage) -> GrantRequest | None:
         """The grant request that an answer is for, if it is known."""
         requests = customer.grant_requests
         if message.grant_number == NO_GRANT_NUMBER:
-            return requests.answered_unnumbered(message.requested)
-        return requests.answered(message.grant_number, message.requested, self.context.now_us)
+            return requests.find_answered_unnumbered(message.requested)
+        return requests.find_answered(message.grant_number, message.requested, self.context.now_us)
 
     def use_slot(self, customer: Customer) -> None:
         """A first attempt of the customer is sent."""
@@ -253,7 +253,7 @@
         """When attempts in flight are reported again, slots or units given back, or grants expire."""
         slots_us = [customer.member_slot.due_us() for customer in self.renewals.values()]
         grants_us: list[float] = [grant.expires_us for _, grant in self.presumed]
-        return [*slots_us, *grants_us, *self.returns_us.values()]
+        return [*slots_us, *grants_us, *self.report_due_us.values()]
 
 
 def counted_units(customer: Customer, message: GossipMessage) -> float:
--- a/orchidhatch/gateway/rate_ceiling.py
+++ b/orchidhatch/gateway/rate_ceiling.py
@@ -40,9 +40,11 @@
     def refill(self, since_us: int, now_us: int) -> None:
         """Refill the share for the time since the last refill, with what other gateways cede."""
         refill_us = max(0, now_us - max(since_us, self.ceded_until_us))
-        refill_us += sum(max(0, min(now_us, until) - since_us) for until in self.received_until_us.values())
+        refill_us += sum(
+            max(0, min(now_us, until_us) - since_us) for until_us in self.received_until_us.values()
+        )
         self.received_until_us = {
-            peer: until for peer, until in self.received_until_us.items() if until > now_us
+            peer: until_us for peer, until_us in self.received_until_us.items() if until_us > now_us
         }
         local_fraction = 1 / self.size
         refilled = self.units + self.plan.ceiling_rate * local_fraction * refill_us / S
@@ -69,7 +71,7 @@
         """Return units, or receive them from the leader."""
         self.units += units
 
-    def take(self, units: float) -> None:
+    def draw(self, units: float) -> None:
         """Draw units, for an attempt or for another gateway."""
         self.units -= units
 
--- a/orchidhatch/gateway/spent_total_codec.py
+++ b/orchidhatch/gateway/spent_total_codec.py
@@ -8,10 +8,10 @@
 from dataclasses import replace
 
 from orchidhatch.gateway.gossip import (
-    AMOUNT_STEPS,
     MAX_STREAM_AGE_US,
     NO_STREAM,
     SEQUENCE_NUMBERS,
+    STEPS_PER_UNIT,
     STREAM_AGE_STEP_US,
     TOTAL_STEPS,
     GossipMessage,
@@ -51,7 +51,7 @@
     """One total, its units rounded to the nearest step and its age down; None goes as one of no stream."""
     if total is None:
         total = SpentTotal(NO_STREAM, sequence=0, units=0.0, age_us=0)
-    steps = round(total.units * AMOUNT_STEPS) % TOTAL_STEPS
+    steps = round(total.units * STEPS_PER_UNIT) % TOTAL_STEPS
     age = min(MAX_STREAM_AGE_US, total.age_us) // STREAM_AGE_STEP_US
     number = total.stream << SEQUENCE_BITS | total.sequence
     number = number << STEPS_BITS | steps
@@ -89,4 +89,4 @@
     stream, sequence = divmod(number, 1 << SEQUENCE_BITS)
     if stream == NO_STREAM:
         return None
-    return SpentTotal(stream, sequence, steps / AMOUNT_STEPS, age * STREAM_AGE_STEP_US)
+    return SpentTotal(stream, sequence, steps / STEPS_PER_UNIT, age * STREAM_AGE_STEP_US)
--- a/orchidhatch/gateway/spent_totals.py
+++ b/orchidhatch/gateway/spent_totals.py
@@ -17,7 +17,7 @@
 )
 from orchidhatch.gateway.times import MS, S
 
-STREAM_STEP_US = 4 * MS
+STREAM_NUMBER_STEP_US = 4 * MS
 """After how long another stream has another number: sooner than a process restarts."""
 
 REORDERING_US = S // 2
@@ -65,7 +65,7 @@
         self.position = None
 
     def _begin(self, now_us: int) -> StreamPosition:
-        number = now_us // STREAM_STEP_US % MAX_STREAM + 1
+        number = now_us // STREAM_NUMBER_STEP_US % MAX_STREAM + 1
         return StreamPosition(number, began_us=now_us, sequence=SEQUENCE_NUMBERS - 1, units=0.0)
 
 
--- a/tests/gateway/quota_rig.py
+++ b/tests/gateway/quota_rig.py
@@ -309,7 +309,7 @@
 
     def observe_leader_counts(self, quotas: QuotaLeaders) -> None:
         """Book what the gateway takes from the bucket of the set for the customers that it leads."""
-        new_customer = quotas.new_customer
+        new_customer = quotas.create_customer
 
         def new_observed_customer(key: CustomerKey) -> Customer:
             customer = new_customer(key)
@@ -317,17 +317,17 @@
                 self.observe_set_bucket(customer)
             return customer
 
-        quotas.new_customer = new_observed_customer
+        quotas.create_customer = new_observed_customer
 
     def observe_set_bucket(self, customer: Customer) -> None:
         """Book what is taken from the customer's bucket of the set."""
         buckets = customer.quota
-        spend_of_set = buckets.spend_of_set
+        spend_from_set = buckets.spend_from_set
         checksum = customer.key.customer
 
         def spend(units: float) -> None:
             level_before = buckets.set_level
-            spend_of_set(units)
+            spend_from_set(units)
             ledger = self.ledger_by_checksum[checksum]
             ledger.leader_counted += units
             ledger.leader_forgiven += units - (level_before - buckets.set_level)
@@ -337,7 +337,7 @@
             self.ledger_by_checksum[checksum].leader_counted += units
 
         count = buckets.count_grant
-        buckets.spend_of_set = spend
+        buckets.spend_from_set = spend
         buckets.count_grant = count_grant
 
     # --- the clock ---
--- a/tests/gateway/test_grant_accounting.py
+++ b/tests/gateway/test_grant_accounting.py
@@ -194,7 +194,7 @@
     pair = HeldPair(SLOTS_PLAN)
     pair.ask("a", units=6.0)
     pair.deliver_to_leader()
-    slot_answers = [event for event in pair.to_member if not event.messages[0].answers_grant_request]
+    slot_answers = [event for event in pair.to_member if not event.messages[0].is_grant_answer]
     assert slot_answers
     for event in slot_answers:
         pair.to_member.remove(event)
--- a/tests/gateway/test_grant_stalls.py
+++ b/tests/gateway/test_grant_stalls.py
@@ -170,4 +170,4 @@
     assert len(pair.member.log) - before < 5000
     requests = pair.customer_at(pair.member).grant_requests
     assert requests.has_free_number(pair.member.now)
-    assert len(requests.numbered) <= MAX_GRANT_NUMBER
+    assert len(requests.by_number) <= MAX_GRANT_NUMBER
--- a/tests/gateway/test_leader_slots.py
+++ b/tests/gateway/test_leader_slots.py
@@ -89,19 +89,19 @@
 def test_repeated_request_is_granted_the_same_slot(slots: LeaderSlots) -> None:
     slots.enqueue(PEER, 3.0, NOW_US, number=7)
     slots.grant(PEER, NOW_US)
-    assert slots.grant_again(OTHER, 7, NOW_US) is None
-    assert slots.grant_again(PEER, 8, NOW_US) is None
+    assert slots.repeat_grant(OTHER, 7, NOW_US) is None
+    assert slots.repeat_grant(PEER, 8, NOW_US) is None
     repeated_us = NOW_US + 2 * LEADER_REPLY_TIMEOUT_US - 1
-    granted = slots.grant_again(PEER, 7, repeated_us)
+    granted = slots.repeat_grant(PEER, 7, repeated_us)
     assert granted is not None and granted.units == 3.0
     # The slot is that gateway's for as long as if it were granted now.
     later_us = repeated_us + 2 * LEADER_REPLY_TIMEOUT_US - 1
     slots.on_report(PEER, 0, False, later_us)
     assert slots.in_use(later_us) == 1
     slots.on_report(PEER, 1, False, later_us)
-    assert slots.grant_again(PEER, 7, later_us) is None
+    assert slots.repeat_grant(PEER, 7, later_us) is None
 
 
 def test_request_without_a_number_repeats_none(slots: LeaderSlots) -> None:
     grant(slots, PEER)
-    assert slots.grant_again(PEER, NO_GRANT_NUMBER, NOW_US) is None
+    assert slots.repeat_grant(PEER, NO_GRANT_NUMBER, NOW_US) is None
--- a/tests/gateway/test_member_slot.py
+++ b/tests/gateway/test_member_slot.py
@@ -5,7 +5,7 @@
 from orchidhatch.gateway.leader_requests import LEADER_REPLY_TIMEOUT_US, MAX_LEADER_REQUESTS
 from orchidhatch.gateway.member_slot import (
     QUEUED_RETRY_US,
-    RENEWAL_US,
+    RENEWAL_INTERVAL_US,
     SLOT_ONLY_UNITS,
     TRANSITIONS,
     MemberSlot,
@@ -116,9 +116,9 @@
 def test_due_time_is_the_end_of_a_grant_or_the_next_renewal() -> None:
     slot = MemberSlot()
     slot.reported_us = NOW_US
-    assert slot.due_us() == NOW_US + RENEWAL_US
-    assert not slot.is_renewal_due(NOW_US + round(RENEWAL_US) - 1)
-    assert slot.is_renewal_due(NOW_US + round(RENEWAL_US))
+    assert slot.due_us() == NOW_US + RENEWAL_INTERVAL_US
+    assert not slot.is_renewal_due(NOW_US + round(RENEWAL_INTERVAL_US) - 1)
+    assert slot.is_renewal_due(NOW_US + round(RENEWAL_INTERVAL_US))
     slot.on_granted(NOW_US)
     assert slot.due_us() == NOW_US + LEADER_REPLY_TIMEOUT_US
 
--- a/tests/gateway/test_policy_change.py
+++ b/tests/gateway/test_policy_change.py
@@ -9,7 +9,7 @@
 from orchidhatch.gateway.actions import Reject, SendAttempt, WaitTimes
 from orchidhatch.gateway.events import PeerMessage, PolicyChange, SuspendAdmission
 from orchidhatch.gateway.gossip import AttemptObservation, GossipMessage
-from orchidhatch.gateway.gossip_codec import HEAD, MESSAGE, mark_of, pack_message, unpack_message
+from orchidhatch.gateway.gossip_codec import HEADER, MESSAGE, mark_of, pack_message, unpack_message
 from orchidhatch.gateway.settings import Plan
 from tests.helpers import MS, PLAN, SETTINGS, World, of
 
@@ -93,6 +93,6 @@
     assert (mark_of(plain), mark_of(marked)) == (0, 200)
     assert max(map(len, (plain, marked))) <= 256
     assert unpack_message(plain)[0] == unpack_message(marked)[0] == messages
-    assert 1 + (marked[0] ^ HEAD) * MESSAGE.size > 256
+    assert 1 + (marked[0] ^ HEADER) * MESSAGE.size > 256
     for cut in range(len(marked)):
         unpack_message(marked[:cut])
--- a/tests/gateway/test_quota_buckets.py
+++ b/tests/gateway/test_quota_buckets.py
@@ -70,10 +70,10 @@
 
 
 def test_debt_of_the_set_is_bounded_unless_isolated(buckets: QuotaBuckets) -> None:
-    buckets.spend_of_set(100.0)
+    buckets.spend_from_set(100.0)
     assert buckets.set_level == -PLAN.rate * DEMAND_DECAY_US / S
     isolated = QuotaBuckets(PLAN, size=1, is_isolated=True)
-    isolated.spend_of_set(100.0)
+    isolated.spend_from_set(100.0)
     assert isolated.set_level == -60.0
 
 
--- a/tests/gateway/test_quota_leader.py
+++ b/tests/gateway/test_quota_leader.py
@@ -60,7 +60,7 @@
     (answer,) = send.messages
     assert answer.kind is MessageKind.LEADER_ANSWER
     assert answer.level == 8.0
-    assert not answer.answers_grant_request
+    assert not answer.is_grant_answer
 
 
 def test_granted_slot_takes_units_of_the_leaders_ceiling() -> None:
@@ -85,6 +85,6 @@
 
 def test_own_requests_take_their_turn_for_a_free_slot() -> None:
     leader = World().gateway.quotas.leader
-    assert all(leader.is_turn_of_own_requests(0) for _ in range(100))
-    turns = sum(leader.is_turn_of_own_requests(3) for _ in range(4000))
+    assert all(leader.is_slot_for_own_requests(0) for _ in range(100))
+    turns = sum(leader.is_slot_for_own_requests(3) for _ in range(4000))
     assert turns == pytest.approx(1000, abs=150)
--- a/tests/gateway/test_rate_ceiling.py
+++ b/tests/gateway/test_rate_ceiling.py
@@ -126,7 +126,7 @@
     assert not ceiling.lacks(3.0)
     assert ceiling.lacks(3.1)
     assert ceiling.wait_us(5.0) == S
-    ceiling.take(4.0)
+    ceiling.draw(4.0)
     assert ceiling.units == -1.0
     assert not RateCeiling(Plan(), size=2).lacks(1.0)
 
--- a/tests/gateway/test_spent_totals.py
+++ b/tests/gateway/test_spent_totals.py
@@ -20,8 +20,8 @@
 from orchidhatch.gateway.settings import Plan
 from orchidhatch.gateway.spent_totals import (
     REORDERING_US,
+    STREAM_NUMBER_STEP_US,
     STREAM_START_TOLERANCE_US,
-    STREAM_STEP_US,
     ReceivedTotals,
     ReportStream,
 )
@@ -173,7 +173,8 @@
 def test_stream_numbers_follow_the_clock() -> None:
     """Guards against a process, or a customer that is seen again, that goes on under a used number."""
     numbers = [
-        ReportStream().add(0.0, NOW_US + step * STREAM_STEP_US).stream for step in range(MAX_STREAM + 1)
+        ReportStream().add(0.0, NOW_US + step * STREAM_NUMBER_STEP_US).stream
+        for step in range(MAX_STREAM + 1)
     ]
     assert set(numbers) == set(range(1, MAX_STREAM + 1))
     assert numbers[0] == numbers[-1]
--- a/tests/gateway/test_units_given_back.py
+++ b/tests/gateway/test_units_given_back.py
@@ -45,7 +45,7 @@
     assert pair.counted() == pytest.approx(1.0, abs=0.03)
     pair.run(PAST_DELAY)
     assert not pair.to_leader
-    assert not pair.member.gateway.quotas.member.returns_us
+    assert not pair.member.gateway.quotas.member.report_due_us
 
 
 def test_units_of_a_dropped_plan_are_not_given_back(pair: HeldPair) -> None:
@@ -62,4 +62,4 @@
     customer = pair.customer_at(pair.member)
     customer.take(-1.0)
     pair.member.gateway.quotas.return_soon(customer)
-    assert not pair.member.gateway.quotas.member.returns_us
+    assert not pair.member.gateway.quotas.member.report_due_us
