--- a/orchidhatch/gateway/counted_grants.py
+++ b/orchidhatch/gateway/counted_grants.py
@@ -1,7 +1,7 @@
-"""What a quota leader has counted for the numbered grant requests of its members, for a short time.
+"""The units that a quota leader has counted for its members' recent numbered grant requests.
 
-Messages may be lost, so a member repeats a grant request under its number. The leader counts it once and
-answers each repetition alike, while it remembers the request.
+Messages may be lost, so a member repeats a grant request under the same number. While the leader remembers
+the request, it counts it once and gives each repetition the same answer.
 """
 
 from collections.abc import Iterable
@@ -10,11 +10,11 @@
 from orchidhatch.gateway.times import S
 
 COUNTED_GRANT_TTL_US = 0.6 * S
-"""For how long a repeated grant request is known as such."""
+"""How long the leader recognizes a repeated grant request."""
 
 
 class CountedGrant(NamedTuple):
-    """The units that were requested and counted, and when."""
+    """The units requested and counted for a grant request, and when they were counted."""
 
     requested: float
     counted: float
@@ -22,14 +22,14 @@
 
 
 class CountedGrants:
-    """The grants of one customer that its leader has counted of late, by gateway and number."""
+    """The grants of one customer that its leader has recently counted, by gateway and number."""
 
     def __init__(self) -> None:
-        # In the order in which they were counted.
+        # Ordered by the time of counting, oldest first.
         self.grants: dict[tuple[int, int], CountedGrant] = {}
 
     def find(self, peer: int, number: int, requested: float, now_us: int) -> CountedGrant | None:
-        """What was counted for the same grant request; None for a new one."""
+        """Return what was counted for the same grant request; None if it is new."""
         self._forget_old(now_us)
         grant = self.grants.get((peer, number))
         if grant is None or grant.requested != requested:
@@ -37,12 +37,12 @@
         return grant
 
     def add(self, peer: int, number: int, grant: CountedGrant) -> None:
-        """Remember what was counted for a gateway's request of that number."""
+        """Store what was counted for a gateway's request of that number."""
         self.grants.pop((peer, number), None)
         self.grants[peer, number] = grant
 
     def known(self, now_us: int) -> Iterable[tuple[tuple[int, int], CountedGrant]]:
-        """The grants that a repeated request may be for, each by gateway and number."""
+        """Return the grants that may still be repeated, each with its gateway and number."""
         self._forget_old(now_us)
         return self.grants.items()
 
--- a/orchidhatch/gateway/gossip.py
+++ b/orchidhatch/gateway/gossip.py
@@ -1,4 +1,4 @@
-"""What gateways send each other: messages on a customer's quota, and observations of the servers."""
+"""The contents of gossip between gateways: messages about customers' quotas, and attempt observations."""
 
 from dataclasses import dataclass
 from enum import Enum, IntEnum, auto
@@ -6,51 +6,52 @@
 from orchidhatch.gateway.times import S
 
 NO_GRANT_NUMBER = 0
-"""The number in messages that are about no grant, or of a gateway that numbers none."""
+"""The number in messages that are not about a grant, or that come from a gateway without grant numbers."""
 
 MAX_GRANT_NUMBER = 31
-"""The greatest number of a grant or slot request: what the free bits of a message hold."""
+"""The greatest number of a grant or slot request, limited by the free bits of a message."""
 
 MAX_PLAN_INDEX = 255
-"""The greatest index of a plan that a message can name."""
+"""The greatest plan index that fits in a message."""
 
 STEPS_PER_UNIT = 50
-"""The steps of a unit in which a message says amounts."""
+"""The resolution of amounts in messages, in steps per unit."""
 
 MAX_AMOUNT_STEPS = 32767
-"""The greatest amount that a message says, in steps; it stands for any greater one too."""
+"""The greatest amount in a message, in steps; greater amounts are sent as this one."""
 
 MAX_AMOUNT_UNITS = MAX_AMOUNT_STEPS / STEPS_PER_UNIT
-"""The same in units."""
+"""The greatest amount in a message, in units."""
 
 
 TOTAL_STEPS = 1 << 24
-"""The steps in which a total of spent units counts, after which it begins again at 0."""
+"""The range of a total of spent units, in steps; the total wraps around to 0."""
 
 TOTAL_UNITS = TOTAL_STEPS / STEPS_PER_UNIT
-"""The same in units."""
+"""The range of a total of spent units, in units."""
 
 SEQUENCE_NUMBERS = 1 << 6
-"""How many messages of a stream are numbered before the numbers begin again."""
+"""The number of sequence numbers in a stream before they wrap around."""
 
 NO_STREAM = 0
-"""In a datagram, the stream of a message without a total of spent units."""
+"""The stream number in a datagram for a message without a total of spent units."""
 
 MAX_STREAM = (1 << 14) - 1
-"""The greatest number of a stream of reports."""
+"""The greatest number of a report stream."""
 
 STREAM_AGE_STEP_US = 4 * S
-"""The steps in which a message says the age of its stream."""
+"""The resolution of a stream's age in messages."""
 
 MAX_STREAM_AGE_US = 15 * STREAM_AGE_STEP_US
-"""The greatest age of a stream that a message says; it stands for any greater one too."""
+"""The greatest age of a stream in a message; greater ages are sent as this one."""
 
 
 class MessageKind(Enum):
-    """What a gossip message is for.
+    """The purpose of a gossip message.
 
-    A report brings the leader up to date, and follows the end of an attempt where a slot was in use. A grant
-    request asks whether a request may be admitted, a slot request for a concurrency slot; both report too.
+    A report updates the leader; if the leader grants slots, a report also means that an attempt has ended. A
+    grant request asks whether a request may be admitted, a slot request asks for a concurrency slot; both
+    also report.
     """
 
     REPORT = auto()
@@ -60,7 +61,7 @@
 
 
 class SlotGrant(IntEnum):
-    """A quota leader's answer to a request for a concurrency slot of a customer."""
+    """A quota leader's answer to a slot request."""
 
     NONE = 0
     GRANTED = 1
@@ -69,10 +70,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SpentTotal:
-    """All units that a gateway has reported as spent by a customer, in the stream of reports to its leader.
+    """The total of units that a gateway has reported as spent by a customer in one stream of reports.
 
-    The stream began `age_us` before the message was sent, with a total of 0; MAX_STREAM_AGE_US stands for any
-    greater age. `sequence` numbers its messages, and `units` are the total with this one, modulo TOTAL_UNITS.
+    The stream started `age_us` before the message was sent, with a total of 0; MAX_STREAM_AGE_US stands for
+    any greater age. `sequence` numbers the messages of the stream. `units` is the total including this
+    message, modulo TOTAL_UNITS.
     """
 
     stream: int
@@ -83,24 +85,28 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipMessage:
-    """What a gateway sends a customer's quota leader, or the leader's answer.
-
-    A customer goes by a checksum of its name. `demand` and `spent` are the units requested and spent since
-    the sender's last message, as far as one can say them; in an answer, `demand` is that of the whole gateway
-    set. `requested` above zero requests a grant of so many units and waits for an answer; `level` is what the
-    set's bucket holds, or owes when negative; one that is cut is the least that it holds. A member's level
-    still has the units that it has spent and leaves to a later message. Below zero, `requested` requests a
-    concurrency slot, and so many units under the rate ceiling; where `slot_grant` is GRANTED, the answer
-    hands them over. `in_flight` is how many attempts the sender has in flight; in an answer, how many all
-    gateways but the recipient have.
-
-    A grant request has a `grant_number`, the same when it is repeated, and so has its answer, whose `spent`
-    are the units that the leader has counted for it. Gateways of the version before number none, and an
-    answer without a number leaves the recipient to follow from demand and level what was counted. A slot
-    request has a number of its own, until it is granted, and so has the answer that grants it.
-
-    A member's message has a `spent_total`, so that a later message says what a lost one has said. Gateways of
-    the version before neither send nor read one, and nor does a process that has a successor.
+    """A message from a gateway to a customer's quota leader, or the leader's answer.
+
+    `customer` is a checksum of the customer's name. `demand` and `spent` are the units requested and spent
+    since the sender's last message, up to MAX_AMOUNT_UNITS; in an answer, `demand` is that of the whole
+    gateway set.
+
+    `requested` above zero asks for a grant of that many units, and the sender waits for the answer. Below
+    zero it asks for a concurrency slot and that many units of the rate ceiling; if `slot_grant` is GRANTED,
+    the answer transfers both.
+
+    `level` is the level of the set's token bucket, negative for a debt; a clamped level is a lower bound.
+    The level of a member still includes units that it has spent but leaves to a later message to report.
+    `in_flight` is the number of the sender's attempts in flight; in an answer, that of all gateways except
+    the recipient.
+
+    A grant request has a `grant_number`, the same if it is repeated. Its answer has the same number, and
+    `spent` is the number of units that the leader has counted for it. Gateways of the previous version send
+    no numbers; the recipient of an answer without one derives the counted units from demand and level. A
+    slot request has a number of its own until it is granted, which the granting answer repeats.
+
+    A member's message has a `spent_total`, so that a later message makes up for a lost one. Gateways of the
+    previous version neither send nor read it, and a process that has a successor does not send it.
     """
 
     customer: int
@@ -119,7 +125,7 @@
 
     @property
     def kind(self) -> MessageKind:
-        """What the message is for, by `is_answer` and the sign of `requested`."""
+        """The purpose of the message, from `is_answer` and the sign of `requested`."""
         if self.is_answer:
             return MessageKind.LEADER_ANSWER
         if self.requested > 0:
@@ -130,7 +136,7 @@
 
     @property
     def is_level_clamped(self) -> bool:
-        """Whether the sender's level may be greater than the message can say."""
+        """Whether the sender's level may exceed the range of the message."""
         return self.level >= MAX_AMOUNT_UNITS
 
     @property
@@ -140,16 +146,16 @@
 
     @property
     def requested_units(self) -> float:
-        """The units that a grant or a slot was requested with, without the sign that says which."""
+        """The units that a grant or slot request asks for, without the sign that distinguishes the two."""
         return abs(self.requested)
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptObservation:
-    """How an attempt went, sent to the other gateways.
+    """The result of an attempt, sent to the other gateways.
 
-    The server goes by a checksum of its name. `relative_latency` is a fraction of the latency objective, at
-    most 1; an attempt that failed other than by a timeout has none.
+    The server is identified by a checksum of its name. `relative_latency` is a fraction of the latency
+    objective, at most 1; it is 0 for an attempt that failed other than by a timeout.
     """
 
     server_checksum: int
--- a/orchidhatch/gateway/gossip_codec.py
+++ b/orchidhatch/gateway/gossip_codec.py
@@ -1,8 +1,9 @@
-"""The datagrams between gateways: gossip messages and attempt observations, at most 256 bytes each.
+"""The codec of datagrams between gateways: gossip messages and attempt observations in at most 256 bytes.
 
-A datagram is a head, messages, their totals and observations. The head is one byte, HEAD with the count of
-messages, or two where a policy's mark follows: HEAD_WITH_MARK with the count, and the mark. Amounts go in
-steps of 1 / AMOUNT_STEPS, relative latencies in steps of 1 / LATENCY_STEPS.
+A datagram consists of a header, messages, their spent totals and observations. The header is one byte,
+HEADER combined with the number of messages, or two bytes if it carries a policy mark: HEADER_WITH_MARK
+combined with the number, and the mark. Amounts are encoded in steps of 1 / STEPS_PER_UNIT, relative
+latencies in steps of 1 / LATENCY_STEPS.
 """
 
 import struct
@@ -28,7 +29,7 @@
 HEADER_WITH_MARK = 0xB0
 
 HEADER_TYPE_MASK = 0xF0
-"""The bits of the head that tell the two kinds; the others count the messages."""
+"""The bits of the header that distinguish its two types; the others hold the number of messages."""
 
 HEADER_BYTES = 2
 DATAGRAM_BYTES = 256
@@ -36,28 +37,29 @@
 OBSERVATION = struct.Struct("!HBB")
 
 CLASSES_LIMIT = TOTAL_CLASS
-"""The request classes that an observation can name."""
+"""The number of request classes that an observation can identify."""
 
 MIN_AMOUNT_STEPS = -32768
 IN_FLIGHT_LIMIT = 255
 LATENCY_STEPS = 255
 
 SLOT_GRANTS = frozenset(SlotGrant)
-"""The slot grants that this version knows; the first version sends none, and ignores one."""
+"""The slot grants known to this version; the first version sends none and ignores them."""
 
 SLOT_GRANT_SHIFT = 1
 SLOT_GRANT_MASK = 0b11
 GRANT_NUMBER_SHIFT = 3
-"""Where the byte of a message's kind has them; earlier versions ignore a grant number."""
+"""The positions of slot grant and grant number in the flags byte; earlier versions ignore a grant number."""
 
 
 def pack_message(
     messages: Iterable[GossipMessage], observations: Iterable[AttemptObservation] = (), policy_mark: int = 0
 ) -> list[bytes]:
-    """The datagrams that hold the messages; observations fill up the last.
+    """Return the datagrams that hold the messages; observations fill up the last one.
 
-    Messages about a plan that no message can name are left out, and there is no datagram without a message.
-    The mark of a policy is from 1 to 255; a gateway of an earlier version ignores a datagram with one.
+    Messages about a plan index above MAX_PLAN_INDEX are left out, and no datagram is returned without a
+    message. The mark of a policy is from 1 to 255, 0 for none; a gateway of an earlier version ignores a
+    datagram with a mark.
     """
     named = [message for message in messages if message.plan_index <= MAX_PLAN_INDEX]
     if not named:
@@ -77,7 +79,7 @@
 
 
 def split_messages(messages: Sequence[GossipMessage]) -> Iterator[list[GossipMessage]]:
-    """The messages of each datagram, as many as it holds with their totals."""
+    """Yield the messages of each datagram, as many as fit with their totals."""
     total_bytes = TOTAL_BYTES if has_totals(messages) else 0
     chunk: list[GossipMessage] = []
     free_bytes = DATAGRAM_BYTES - HEADER_BYTES
@@ -93,17 +95,17 @@
 
 
 def pack_header(count: int, policy_mark: int) -> bytes:
-    """The head of a datagram with so many messages."""
+    """Return the header of a datagram with `count` messages."""
     return bytes([HEADER_WITH_MARK | count, policy_mark] if policy_mark else [HEADER | count])
 
 
 def amount_steps(units: float) -> int:
-    """An amount as it goes over the wire; one beyond its range is cut to it."""
+    """Return an amount in steps, clamped to the range of a message field."""
     return max(MIN_AMOUNT_STEPS, min(MAX_AMOUNT_STEPS, round(units * STEPS_PER_UNIT)))
 
 
 def requested_steps(units: float) -> int:
-    """What a message requests, over the wire: one step at least, as none would make it a report."""
+    """Return the requested amount in steps; at least one step, because zero would make it a report."""
     steps = amount_steps(units)
     if steps or not units:
         return steps
@@ -111,7 +113,7 @@
 
 
 def pack_gossip(message: GossipMessage) -> bytes:
-    """One message: the kind of message, the slot grant and the grant number share a byte."""
+    """Return one encoded message; answer flag, slot grant and grant number share a byte."""
     flags = message.is_answer | message.slot_grant << SLOT_GRANT_SHIFT
     return MESSAGE.pack(
         message.customer,
@@ -128,7 +130,7 @@
 
 
 def pack_observation(observation: AttemptObservation) -> bytes:
-    """One observation: class and success share a byte."""
+    """Return one encoded observation; class and success share a byte."""
     return OBSERVATION.pack(
         observation.server_checksum,
         observation.class_index << 1 | observation.succeeded,
@@ -137,12 +139,12 @@
 
 
 def mark_of(data: bytes) -> int:
-    """The mark of the policy that a datagram goes by; 0 for none."""
+    """Return the mark of the policy in a datagram, 0 for none."""
     return data[1] if len(data) > 1 and data[0] & HEADER_TYPE_MASK == HEADER_WITH_MARK else 0
 
 
 def unpack_message(data: bytes) -> tuple[tuple[GossipMessage, ...], tuple[AttemptObservation, ...]]:
-    """The messages and observations of a datagram; none where it is malformed."""
+    """Return the messages and observations of a datagram; none if it is malformed."""
     if mark_of(data):
         data = bytes([data[0] ^ HEADER_WITH_MARK ^ HEADER]) + data[2:]
     end = 1 + (data[0] ^ HEADER) * MESSAGE.size if data else 0
@@ -172,7 +174,7 @@
     level: int,
     in_flight: int,
 ) -> GossipMessage:
-    """A message from the values of its struct, in their order; a grant that is not known is none."""
+    """Return a message from the fields of its struct, in order; an unknown slot grant becomes NONE."""
     slot_grant = flags >> SLOT_GRANT_SHIFT & SLOT_GRANT_MASK
     return GossipMessage(
         customer,
--- a/orchidhatch/gateway/grant_requests.py
+++ b/orchidhatch/gateway/grant_requests.py
@@ -1,14 +1,15 @@
-"""A member's grant requests: what the quota leader has counted for each, while messages are late or lost.
+"""A member's grant requests: tracks what the quota leader has counted for each of them.
 
-The leader counts the units that it grants as spent when it answers; the member reports all else that it
-spends. So each grant request keeps what the leader has counted for it, as far as that is known here, and a
-change of that goes into the member's next report. All messages about one request carry its number.
+Messages may be late or lost. The leader counts granted units as spent when it answers; the member reports
+all other spending. So each grant request records the units that the leader has counted for it, as far as
+known here, and a change of that number goes into the member's next report. All messages about one request
+carry its number.
 
-| state | the client's request | counted by the leader, as known here | what comes next |
+| state | the client's request | counted by the leader, as known here | next event |
 | --- | --- | --- | --- |
 | AWAITED | waits for the answer | nothing | the answer, or a decision without one |
-| PRESUMED | is decided without an answer, or withdrawn | what it spends here | an answer, or none in time |
-| SETTLED | is decided | what the answer says, else nothing | a repeated or late answer |
+| PRESUMED | is decided without an answer, or withdrawn | what it spends here | an answer, or expiry |
+| SETTLED | is decided | the units in the answer, else nothing | a repeated or late answer |
 """
 
 from enum import Enum, auto
@@ -20,23 +21,23 @@
 from orchidhatch.gateway.times import S
 
 GRANT_NUMBER_REUSE_US = 1.5 * S
-"""After how long a number may name another request, while late messages still name the earlier one."""
+"""The minimum time before a number may denote another request; late messages may carry the earlier one."""
 
 GRANT_NUMBER_STEP_US = 49_000
-"""After how long the next request begins at the next number; all of them take GRANT_NUMBER_REUSE_US."""
+"""The time after which a new request starts at the next number; all numbers span GRANT_NUMBER_REUSE_US."""
 
 PREDECESSOR_NUMBER_OFFSET = MAX_GRANT_NUMBER // 2
-"""How far from its successor's numbers a process begins, while both open requests."""
+"""The distance between the numbers of a process and its successor while both open requests."""
 
 GRANT_REPEAT_WINDOW_US = 0.4 * S
-"""For how long a request is repeated, so that the leader still knows that it has counted it."""
+"""How long a request may be repeated; within that time the leader remembers that it has counted it."""
 
 GRANT_REQUEST_TTL_US = S // 2
-"""After how long without an answer the leader is taken to have counted nothing."""
+"""The time without an answer after which the leader is assumed to have counted nothing."""
 
 
 class GrantState(Enum):
-    """How far a grant request has come, in the order of the module's table."""
+    """The state of a grant request, in the order of the table in the module's docstring."""
 
     AWAITED = auto()
     PRESUMED = auto()
@@ -44,7 +45,7 @@
 
 
 class GrantEvent(Enum):
-    """What changes the state: the leader's answer, a decision without one, the end of the time for one."""
+    """A change of state: an answer of the leader, a decision without an answer, or expiry."""
 
     ANSWERED = auto()
     DECIDED_UNANSWERED = auto()
@@ -69,9 +70,9 @@
 class GrantRequest:
     """One request for a grant of units; times in microseconds.
 
-    `quota` keeps what is to be reported, `counted` what the leader has counted for it, as far as that is
-    known here, and `spent` what was spent of the quota; `messages` is how often it was sent, `answers` how
-    often it was answered.
+    `quota` holds the units to be reported. `counted` is the number of units that the leader has counted for
+    the request, as far as known here, and `spent` the units spent. `messages` counts how often the request
+    was sent, `answers` how often it was answered.
     """
 
     def __init__(self, quota: QuotaBuckets, number: int, units: float, now_us: int) -> None:
@@ -86,9 +87,9 @@
         self.answers = 0
 
     def on_answer(self, counted: float) -> float:
-        """The leader has counted so many units; returns those that the next report gives back.
+        """Apply an answer that `counted` units were counted; return the units that the next report returns.
 
-        Repeated answers come in any order, and those that grant say the same.
+        Repeated answers may arrive in any order; those that grant the request all name the same units.
         """
         counted_before = self._counted_by_answers()
         self._advance(GrantEvent.ANSWERED)
@@ -96,25 +97,25 @@
         return self._set_counted(max(counted, counted_before))
 
     def on_unnumbered_answer(self, counted: float) -> float:
-        """The same for a leader of the version before, which counts each message of the request."""
+        """Apply an answer of a leader of the previous version, which counts each message of the request."""
         counted_before = self._counted_by_answers()
         self._advance(GrantEvent.ANSWERED)
         self.answers += 1
         return self._set_counted(counted + counted_before)
 
     def on_decided_unanswered(self, spent: float) -> None:
-        """The request is decided without an answer: presume that the leader counts what it spends here."""
+        """Record a decision without an answer, and presume that the leader counts the `spent` units."""
         self._advance(GrantEvent.DECIDED_UNANSWERED)
         self.spent = spent
         self._set_counted(spent)
 
     def on_expired(self) -> float:
-        """No answer has come in time: what was spent is to be reported; returns those units, below zero."""
+        """Report the spent units, because no answer came in time; return them as a negative number."""
         self._advance(GrantEvent.EXPIRED)
         return self._set_counted(0.0)
 
     def snapshot(self, key: CustomerKey) -> GrantRequestSnapshot:
-        """What a successor is told of the customer's request."""
+        """Return the state of the customer's request for a successor."""
         return GrantRequestSnapshot(
             key=key,
             number=self.number,
@@ -126,19 +127,19 @@
 
     @property
     def expires_us(self) -> int:
-        """From when on no answer is waited for any more."""
+        """The time after which the request no longer waits for an answer."""
         return self.opened_us + GRANT_REQUEST_TTL_US
 
     def may_repeat(self, now_us: int) -> bool:
-        """Whether the leader still knows what it has counted, if it has."""
+        """Return whether the leader still remembers the request if it has counted it."""
         return now_us - self.opened_us < GRANT_REPEAT_WINDOW_US
 
     def awaits_answer(self) -> bool:
-        """Whether a message of the request was not answered yet."""
+        """Return whether a message of the request has not been answered."""
         return self.answers < self.messages
 
     def matches(self, units: float) -> bool:
-        """Whether so many units, as an answer names them, are those that were requested."""
+        """Return whether the units named in an answer are those requested, within the codec's precision."""
         return requested_steps(self.units) == requested_steps(units)
 
     def _counted_by_answers(self) -> float:
@@ -148,7 +149,7 @@
         self.state = TRANSITIONS[self.state][event]
 
     def _set_counted(self, counted: float) -> float:
-        """Give back what the leader has counted beyond what was known; below zero, report it as spent."""
+        """Return the change of the counted units, and subtract it from the units to be reported."""
         difference = counted - self.counted
         self.counted = counted
         self.quota.unreported_spend -= difference
@@ -156,36 +157,39 @@
 
 
 class GrantRequests:
-    """A customer's grant requests at a member.
+    """A customer's grant requests at a member, by number.
 
-    Invariant: a number names one request until that is settled, and GRANT_NUMBER_REUSE_US long at least.
-    Numbers follow the clock, so that a process uses others than the one before. A successor knows those that
-    its predecessor has used before the snapshot; from then on the two begin at numbers that are far apart.
+    Invariant: a number denotes one request until the request is settled, and for at least
+    GRANT_NUMBER_REUSE_US.
+
+    Numbers are derived from the clock, so that a restarted process uses others than the process before it. A
+    successor knows the numbers that its predecessor used before the snapshot; after that the two start at
+    numbers far apart.
     """
 
     def __init__(self, quota: QuotaBuckets) -> None:
         self.quota = quota
-        # The last request of each number.
+        # The latest request of each number.
         self.by_number: dict[int, GrantRequest] = {}
 
     def has_free_number(self, now_us: int) -> bool:
-        """Whether one more request may be opened."""
+        """Return whether one more request may be opened."""
         return self._free_number(now_us) is not None
 
     def open(self, units: float, now_us: int, number_offset: int = 0) -> GrantRequest:
-        """A new grant request; ValueError where no number is free."""
+        """Open a grant request. Raises ValueError if no number is free."""
         number = self._free_number(now_us, number_offset)
         if number is None:
-            raise ValueError("all numbers of grant requests are in use")
+            raise ValueError("cannot open a grant request: all numbers are in use")
         grant = GrantRequest(self.quota, number, units, now_us)
         self.by_number[number] = grant
         return grant
 
     def find_answered(self, number: int, units: float, now_us: int) -> GrantRequest | None:
-        """The grant request that an answer is for; None where the number names one of other units.
+        """Return the grant request that an answer is for; None if the number denotes one of other units.
 
-        Where the number names none, an earlier process of this gateway has asked. It spends nothing any
-        more, so that its request is settled with nothing spent.
+        An unknown number belongs to a request of an earlier process of this gateway. That process no longer
+        spends, so the request is recorded as settled with nothing spent.
         """
         grant = self.by_number.get(number)
         if grant is None:
@@ -195,9 +199,9 @@
         return grant if grant.matches(units) else None
 
     def find_answered_unnumbered(self, units: float) -> GrantRequest | None:
-        """The request that an answer of a leader of the version before is for, None for a duplicate.
+        """Return the request answered by a leader of the previous version; None for a duplicate answer.
 
-        It is the first of so many units that awaits an answer; those that are not decided yet go before.
+        It is the oldest one of so many units that awaits an answer; undecided requests take precedence.
         """
         in_order = sorted(self.by_number.values(), key=lambda grant: grant.opened_us)
         for state in GrantState:
@@ -207,13 +211,13 @@
         return None
 
     def in_use(self, now_us: int) -> list[GrantRequest]:
-        """The grant requests whose numbers may not name another one yet."""
+        """Return the grant requests whose numbers may not be reused yet."""
         return [grant for number, grant in self.by_number.items() if not self._is_free(number, now_us)]
 
     def restore(self, snapshot: GrantRequestSnapshot) -> None:
-        """Go on from a predecessor's request: only answers that it did not get change what was counted.
+        """Restore a predecessor's request as settled; only answers that it did not receive change the count.
 
-        Not where a request that was opened here has the number.
+        Ignored if a request opened here has the same number.
         """
         same_number = self.by_number.get(snapshot.number)
         if same_number is not None and same_number.opened_us != snapshot.opened_us:
--- a/orchidhatch/gateway/leader_requests.py
+++ b/orchidhatch/gateway/leader_requests.py
@@ -1,27 +1,28 @@
-"""Requests to a customer's quota leader: how long a reply is awaited, and the backoff while there is none."""
+"""Timeouts and repetition limits of requests to a quota leader, and the backoff if it does not answer."""
 
 from orchidhatch.gateway.times import S
 
 LEADER_REPLY_TIMEOUT_US = 80_000
-"""How long a reply of the quota leader is awaited, and how long a granted slot may stay unused."""
+"""How long a reply of the quota leader is awaited, and how long a granted slot may remain unused."""
 
 MAX_LEADER_REQUESTS = 2
-"""How often a slot is requested before the leader counts as silent, and a grant while it does."""
+"""How many slot requests may remain unanswered before the leader counts as silent; also the limit of grant
+requests to a silent leader."""
 
 MAX_GRANT_REQUESTS = 3
 """How often a grant is requested before the request is decided without an answer."""
 
 LEADER_ANSWER_TTL_US = 10 * S
-"""For how long an answer of the quota leader is used."""
+"""How long an answer of the quota leader is used."""
 
 MIN_BACKOFF_US = S // 2
-"""The first pause after a request that was not answered; it doubles up to LEADER_ANSWER_TTL_US."""
+"""The first delay after an unanswered request; it doubles up to LEADER_ANSWER_TTL_US."""
 
 
 class LeaderBackoff:
-    """Exponential backoff with jitter towards a leader that does not answer.
+    """Exponential backoff with jitter for requests to a leader that does not answer.
 
-    The leader may receive more messages than it can process, and each further request makes that worse.
+    The leader may be receiving more messages than it can process, and further requests add to its load.
     """
 
     def __init__(self) -> None:
@@ -34,7 +35,7 @@
         self.next_request_us = now_us + self.delay_us * (0.5 + jitter)
 
     def reset(self) -> None:
-        """Permit requests again: the leader has answered."""
+        """Permit requests again, because the leader has answered."""
         self.next_request_us = 0
         self.delay_us = 0
 
@@ -44,5 +45,5 @@
         return self.delay_us > 0
 
     def is_paused(self, now_us: int) -> bool:
-        """Whether no request may be sent yet."""
+        """Return whether requests are still paused."""
         return now_us < self.next_request_us
--- a/orchidhatch/gateway/leader_slots.py
+++ b/orchidhatch/gateway/leader_slots.py
@@ -1,7 +1,8 @@
 """The concurrency slots that a customer's quota leader grants to the other gateways of the set.
 
-A slot counts from its grant until a report of the gateway shows it in use, then with the reported attempts in
-flight. Grants and reports end after a while: a lost message blocks a slot for that long only.
+A slot is counted from its grant until a report of the gateway shows it in use, and from then on as one of
+the reported attempts in flight. Grants and reports expire, so that a lost message blocks a slot only for
+that time.
 """
 
 from typing import NamedTuple
@@ -12,18 +13,18 @@
 from orchidhatch.gateway.times import S
 
 IN_FLIGHT_REPORT_TTL_US = 1.5 * S
-"""For how long the leader counts a reported attempt in flight, and a granted slot."""
+"""How long the leader counts a reported attempt in flight, or a granted slot."""
 
 
 class InFlightReport(NamedTuple):
-    """The attempts in flight that a gateway has reported."""
+    """The number of attempts in flight that a gateway reported, and when."""
 
     attempts: int
     reported_us: int
 
 
 class SlotRequest(NamedTuple):
-    """A gateway's request for a slot and units of the ceiling, when it last came in, and its number."""
+    """A gateway's request for a slot and ceiling units, with its number and the time of its last arrival."""
 
     units: float
     requested_us: int
@@ -31,7 +32,7 @@
 
 
 class GrantedSlot(NamedTuple):
-    """A slot that was granted, when it was last, and the request that it was granted to."""
+    """A granted slot: the time of its last grant, and the request that it was granted to."""
 
     granted_us: int
     request: SlotRequest
@@ -40,8 +41,8 @@
 class LeaderSlots:
     """The slots of one customer at its quota leader, by gateway.
 
-    Invariant: a gateway's granted slots are those that its reports have not shown in use; `queue` holds one
-    request of each gateway, that which has waited longest first.
+    Invariant: `granted` holds the slots of a gateway that its reports have not shown in use; `queue` holds
+    one request per gateway, the longest waiting first.
     """
 
     def __init__(self) -> None:
@@ -50,7 +51,7 @@
         self.queue: dict[int, SlotRequest] = {}
 
     def in_use(self, now_us: int, excluded_peer: int = -1) -> int:
-        """Attempts in flight of the other gateways, reported of late or granted since."""
+        """Return the attempts in flight of the other gateways, recently reported or granted since."""
         reported = sum(
             report.attempts
             for peer, report in self.reports.items()
@@ -65,9 +66,9 @@
         return reported + granted
 
     def on_report(self, peer: int, attempts: int, has_ended: bool, now_us: int) -> None:
-        """Count what a gateway has in flight; `has_ended` says that the report follows the end of an attempt.
+        """Record the attempts in flight of a gateway; `has_ended` tells whether one has just ended.
 
-        As many grants count no more as the report shows new attempts, the oldest first.
+        Each new attempt that the report shows uses up one granted slot, the oldest first.
         """
         previous = self.reports[peer].attempts if peer in self.reports else 0
         used_grants = max(0, attempts - previous + has_ended)
@@ -82,7 +83,7 @@
         self.reports[peer] = InFlightReport(attempts, now_us)
 
     def enqueue(self, peer: int, units: float, now_us: int, number: int = NO_GRANT_NUMBER) -> None:
-        """Queue a gateway's request, or take over its repetition; it keeps its position."""
+        """Queue a gateway's request; a repeated request replaces the earlier one in the same position."""
         self.queue[peer] = SlotRequest(units, now_us, number)
 
     def drop_abandoned(self, now_us: int) -> None:
@@ -94,7 +95,7 @@
         }
 
     def next_peer(self, ceiling_units: float) -> int | None:
-        """The gateway that has waited longest among those whose request fits under the ceiling."""
+        """Return the longest waiting gateway whose request fits under the ceiling, or None."""
         for peer, request in self.queue.items():
             units = ceiling_units_of(request.units)
             if not units or units <= ceiling_units:
@@ -102,15 +103,15 @@
         return None
 
     def grant(self, peer: int, now_us: int) -> float:
-        """Grant the queued request of a gateway; returns the units that it requested."""
+        """Grant the queued request of a gateway, and return the units that it names."""
         request = self.queue.pop(peer)
         self.granted.setdefault(peer, []).append(GrantedSlot(now_us, request))
         return request.units
 
     def repeat_grant(self, peer: int, number: int, now_us: int) -> SlotRequest | None:
-        """The request of that number, granted already and not used since, whose slot is granted from now on.
+        """Return the request of that number if its granted slot is unused, and renew the grant.
 
-        None where there is no such request; one without a number is a new request each time.
+        Returns None if there is no such request; a request without a number is always new.
         """
         slots = self.granted.get(peer, [])
         for index, slot in enumerate(slots):
--- a/orchidhatch/gateway/member_slot.py
+++ b/orchidhatch/gateway/member_slot.py
@@ -1,7 +1,7 @@
-"""The concurrency slot that a gateway requests of a customer's quota leader, where the leader grants them.
+"""The concurrency slot that a member requests from a customer's quota leader if the leader grants slots.
 
-A first attempt needs a slot. Slots of an open cap that is smaller than the gateway set are not split, but
-granted one at a time by the leader.
+A first attempt needs a slot. If the open cap is smaller than the gateway set it is not split: the leader
+grants its slots one at a time.
 """
 
 import math
@@ -13,25 +13,25 @@
 from orchidhatch.gateway.times import NEVER, S
 
 QUEUED_RETRY_US = S // 2
-"""After how long a request that the leader has queued is repeated, as messages are lost."""
+"""The delay after which a request that the leader has queued is repeated, as messages may be lost."""
 
 RENEWAL_INTERVAL_US = 0.6 * S
-"""How often attempts in flight are reported again; under the leader's IN_FLIGHT_REPORT_TTL_US."""
+"""How often attempts in flight are reported again; shorter than the leader's IN_FLIGHT_REPORT_TTL_US."""
 
 SLOT_ONLY_UNITS = 0.02
-"""Requested with a slot that needs no units of the ceiling: the least amount that a message can hold."""
+"""The units in a slot request that needs none of the ceiling: the smallest amount that a message can hold."""
 
 MIN_CEILING_UNITS = 0.04
-"""The least that is requested of the ceiling with a slot: less arrives as SLOT_ONLY_UNITS."""
+"""The minimum of ceiling units to request with a slot; a smaller amount would arrive as SLOT_ONLY_UNITS."""
 
 STEP_DECIMALS = 6
-"""The digits after the point to which an amount's steps are exact: those of a float's rounding are cut."""
+"""The decimal places of an amount in steps that are significant; the rest is floating-point rounding."""
 
 
 def slot_request_units(ceiling_units: float) -> float:
-    """What a request for a slot names, for so many units of the ceiling or for none.
+    """Return the units to name in a slot request that needs `ceiling_units`, 0 for none.
 
-    It is rounded up to whole steps of a message, as a grant of less would not do.
+    They are rounded up to whole steps of the message format, because a smaller grant would not suffice.
     """
     if not ceiling_units:
         return SLOT_ONLY_UNITS
@@ -40,12 +40,12 @@
 
 
 def ceiling_units_of(requested: float) -> float:
-    """The units of the rate ceiling that a request for a slot asks for."""
+    """Return the units of the rate ceiling that a slot request asks for."""
     return requested if requested > SLOT_ONLY_UNITS else 0.0
 
 
 class SlotState(Enum):
-    """What is known of the slot that a gateway needs next."""
+    """The state of the slot that a gateway needs next."""
 
     IDLE = auto()
     REQUESTED = auto()
@@ -54,7 +54,7 @@
 
 
 class SlotEvent(Enum):
-    """What changes the state: messages to and from the leader, a first attempt, an unused slot given back."""
+    """A change of state: a message to or from the leader, a first attempt, or a returned slot."""
 
     REQUEST_SENT = auto()
     QUEUE_ANSWER = auto()
@@ -93,47 +93,48 @@
         SlotEvent.RETURNED: SlotState.IDLE,
     },
 }
-"""Answers may come late or twice, so that every event is possible in every state. A slot that was granted and
-not used is given back while the next is requested already."""
+"""Answers may be late or duplicated, so every event is possible in every state. A granted slot that was not
+used may be returned while the next one is already requested."""
 
 
 class MemberSlot:
-    """The slot of one customer, at a gateway that is not its quota leader.
+    """The slot of one customer at a gateway that is not its quota leader.
 
-    Invariant: `granted_us` is the time of a grant that was neither used nor given back, else -NEVER;
+    Invariant: `granted_us` is the time of a grant that was neither used nor returned, else -NEVER.
     `unanswered_requests` counts the requests since the leader's last answer about a slot. `open_number` is
-    that of the request that was not granted yet: it is repeated under it, so that it is granted once.
+    the number of the request that has not been granted yet; repetitions carry the same number, so that it is
+    granted once.
     """
 
     def __init__(self) -> None:
         self.state = SlotState.IDLE
-        # Since when it is in this state: the last request, or the answer to it.
+        # Time of the last request, or of the answer to it.
         self.state_since_us = -NEVER
         self.granted_us = -NEVER
         self.unanswered_requests = 0
         self.open_number = NO_GRANT_NUMBER
         self.last_number = NO_GRANT_NUMBER
-        # When attempts in flight were last reported, or a granted slot was used.
+        # Time of the last report of attempts in flight, or of the last use of a granted slot.
         self.reported_us = -NEVER
 
     def advance(self, event: SlotEvent) -> None:
-        """Follow the table of transitions."""
+        """Apply an event to the state."""
         self.state = TRANSITIONS[self.state][event]
 
     def is_leader_silent(self) -> bool:
-        """Whether the leader has answered none of several requests."""
+        """Return whether the leader has left more than MAX_LEADER_REQUESTS requests unanswered."""
         return self.unanswered_requests > MAX_LEADER_REQUESTS
 
     def is_usable(self, now_us: int) -> bool:
-        """Whether a slot was granted that a first attempt may still use."""
+        """Return whether a first attempt may use a granted slot."""
         return now_us - self.granted_us < LEADER_REPLY_TIMEOUT_US
 
     def is_unused(self, now_us: int) -> bool:
-        """Whether a slot was granted that nothing used in time."""
+        """Return whether a granted slot was not used in time."""
         return self.granted_us > -NEVER and not self.is_usable(now_us)
 
     def is_request_due(self, now_us: int) -> bool:
-        """Whether a slot is to be requested, for the first time or again."""
+        """Return whether a slot is to be requested now, for the first time or again."""
         is_silent = self.is_leader_silent()
         if self.is_usable(now_us) and not is_silent:
             return False
@@ -144,7 +145,7 @@
         return now_us - self.state_since_us >= retry_us
 
     def on_request_sent(self, now_us: int) -> None:
-        """A request for a slot is sent, for the first time or again."""
+        """Record that a slot request was sent, for the first time or again."""
         if self.open_number == NO_GRANT_NUMBER:
             self.last_number = self.next_number(now_us)
             self.open_number = self.last_number
@@ -153,23 +154,25 @@
         self.unanswered_requests += 1
 
     def next_number(self, now_us: int) -> int:
-        """The number after the last; the first follows the clock, as a process before this one had others."""
+        """Return the number after the last one; the first follows the clock to differ from earlier
+        processes.
+        """
         if self.last_number == NO_GRANT_NUMBER:
             return now_us // GRANT_NUMBER_STEP_US % MAX_GRANT_NUMBER + 1
         return self.last_number % MAX_GRANT_NUMBER + 1
 
     def awaits_grant(self, number: int) -> bool:
-        """Whether a grant of that number is the first one for its request; one without a number always is."""
+        """Return whether a grant of that number is the first for its request; unnumbered grants always are."""
         return number in (NO_GRANT_NUMBER, self.open_number)
 
     def on_queued(self, now_us: int) -> None:
-        """The leader has queued the request."""
+        """Record that the leader has queued the request."""
         self.advance(SlotEvent.QUEUE_ANSWER)
         self.state_since_us = now_us
         self.unanswered_requests = 0
 
     def on_granted(self, now_us: int, number: int = NO_GRANT_NUMBER) -> None:
-        """The leader has granted a slot, to the request of that number if it has one."""
+        """Record that the leader has granted a slot, to the request of that number if it has one."""
         if number == self.open_number:
             self.open_number = NO_GRANT_NUMBER
         self.advance(SlotEvent.GRANT_ANSWER)
@@ -178,21 +181,21 @@
         self.granted_us = now_us
 
     def on_attempt_sent(self) -> None:
-        """A first attempt has used the slot; the next may be requested at once."""
+        """Record that a first attempt has used the slot; the next one may be requested at once."""
         self.advance(SlotEvent.ATTEMPT_SENT)
         self.granted_us = -NEVER
 
     def give_back(self) -> None:
-        """The granted slot is used no more."""
+        """Return the granted slot unused."""
         self.advance(SlotEvent.RETURNED)
         self.granted_us = -NEVER
 
     def is_renewal_due(self, now_us: int) -> bool:
-        """Whether attempts in flight are to be reported again."""
+        """Return whether attempts in flight must be reported again."""
         return now_us - self.reported_us >= RENEWAL_INTERVAL_US
 
     def due_us(self) -> float:
-        """When the attempts in flight are to be reported, or an unused slot is to be given back."""
+        """Return when attempts in flight must be reported, or an unused slot returned."""
         if self.granted_us == -NEVER:
             return self.reported_us + RENEWAL_INTERVAL_US
         return self.granted_us + LEADER_REPLY_TIMEOUT_US
--- a/orchidhatch/gateway/peer_outbox.py
+++ b/orchidhatch/gateway/peer_outbox.py
@@ -1,4 +1,4 @@
-"""The outbox of messages to the other gateways: a bounded queue for each peer, with paced sends."""
+"""The outbox of gossip messages: a bounded queue for each peer, with paced sends."""
 
 import itertools
 from collections import Counter, deque
@@ -12,22 +12,24 @@
 from orchidhatch.gateway.times import S
 
 OBSERVATIONS_LIMIT = 16
-"""The attempt observations that are kept for the peers: the newest."""
+"""The number of attempt observations kept for the peers, the newest ones."""
 
 MESSAGES_LIMIT = 60
-"""The gossip messages that may wait for one peer; they fill seven datagrams at most."""
+"""The maximum of gossip messages waiting for one peer; they fill at most seven datagrams."""
 
 BURST_MESSAGES = 3
-"""The sends to one peer that may follow each other without spacing, as a request is answered in time."""
+"""The sends to one peer that may follow each other without spacing, so that requests are answered in time."""
 
 
 class PeerOutbox:
-    """Gossip messages that wait for each peer, and the observations of attempts that ended here.
+    """The gossip messages waiting for each peer, and the observations of attempts that ended here.
 
-    `waiting` holds the messages by peer, `since` when the first of them was added, `dropped` how many were
-    dropped because too many waited. `tally` counts messages and requests by the names of
-    `metric_names.GOSSIP_COUNTS`. Each gateway of many sends each server too few attempts to detect an outlier
-    alone, so the peers get its observations.
+    `waiting` holds the messages by peer, `since` the time at which the first of them was added, and
+    `dropped` the number of messages dropped from full queues. `tally` counts messages and requests under the
+    names in `metric_names.GOSSIP_COUNTS`.
+
+    Observations are shared because one gateway of many sends each server too few attempts to detect an
+    outlier alone.
     """
 
     def __init__(self, context: DecisionContext) -> None:
@@ -37,20 +39,21 @@
         self.since: dict[int, int] = {}
         self.dropped = 0
         self.tally: Counter[str] = Counter()
-        # By peer, when its next send keeps the spacing; a burst is ahead of that by at most `burst_us`.
+        # By peer, the time of the next evenly spaced send; a burst may precede it by up to `burst_us`.
         self.next_send_us: dict[int, float] = {}
         fair_spacing_us = 2 * S * (settings.gateway_count - 1) / max(1, settings.peer_messages_per_s)
         self.spacing_us = min(LEADER_REPLY_TIMEOUT_US, fair_spacing_us)
         self.burst_us = round((BURST_MESSAGES - 1) * self.spacing_us)
-        # The last observations with the times of their ends; by peer, how many of all it has been sent.
+        # The newest observations with the end times of their attempts, and by peer how many of all were sent.
         self.observations: deque[tuple[int, AttemptObservation]] = deque(maxlen=OBSERVATIONS_LIMIT)
         self.observed_count = 0
         self.sent_counts: dict[int, int] = {}
 
     def add(self, peer: int, message: GossipMessage) -> None:
-        """Queue a message for a peer; where too many wait, the oldest is dropped.
+        """Queue a message for a peer; if the queue is full, the oldest message is dropped.
 
-        One about a plan that no datagram can name takes no place of another, and brings about no send.
+        A message about a plan index above MAX_PLAN_INDEX is ignored: it neither displaces another message
+        nor causes a send.
         """
         if message.plan_index > MAX_PLAN_INDEX:
             return
@@ -62,13 +65,13 @@
         messages.append(message)
 
     def dues(self) -> list[float]:
-        """When the next send to each peer that messages wait for is permitted."""
+        """Return when the next send is permitted to each peer with waiting messages."""
         return [self.next_send_us.get(peer, 0) - self.burst_us for peer in self.waiting]
 
     def send(self) -> None:
-        """Send what the spacing permits now.
+        """Send all messages that the spacing permits now.
 
-        On average all peers of a gateway together send it no more than it can receive.
+        The spacing limits the average rate of messages from all its peers to what a gateway can receive.
         """
         latest_us = self.context.now_us + self.burst_us
         permitted = [peer for peer in self.waiting if self.next_send_us.get(peer, 0) <= latest_us]
@@ -76,7 +79,7 @@
             self.send_to(peer)
 
     def send_to(self, peer: int) -> None:
-        """Send a peer all that waits for it."""
+        """Send a peer all messages waiting for it."""
         now_us = self.context.now_us
         self.next_send_us[peer] = max(now_us, self.next_send_us.get(peer, 0)) + self.spacing_us
         self.tally[MESSAGES_SENT] += 1
@@ -85,12 +88,12 @@
         self.context.actions.append(SendGossip(peer, messages, self.unsent_observations(peer), waited_us))
 
     def add_observation(self, observation: AttemptObservation) -> None:
-        """Keep the observation of an attempt that ended now, and drop the oldest of too many."""
+        """Keep the observation of an attempt that ended now; the oldest one is dropped beyond the limit."""
         self.observations.append((self.context.now_us, observation))
         self.observed_count += 1
 
     def unsent_observations(self, peer: int) -> tuple[AttemptObservation, ...]:
-        """The observations that a peer has not been sent, up to the age of the longest control period."""
+        """Return the observations not yet sent to a peer and younger than the longest control period."""
         unsent_count = self.observed_count - self.sent_counts.get(peer, 0)
         self.sent_counts[peer] = self.observed_count
         first = max(0, len(self.observations) - unsent_count)
--- a/orchidhatch/gateway/quota.py
+++ b/orchidhatch/gateway/quota.py
@@ -1,7 +1,7 @@
-"""A customer at this gateway: its quota, its demand, its concurrency slots and its rate ceiling.
+"""A customer's state at this gateway: quota, demand, concurrency slots and rate ceiling.
 
-One gateway of a customer's set is its quota leader, whose counts are those of the whole set; the others, the
-members, go by the leader's answers. The rule of admission is DESIGN's: the quota over the summed demand.
+One gateway of the customer's set is its quota leader and counts for the whole set; the others, the members,
+rely on its answers. The admission rule is specified in DESIGN: quota divided by summed demand.
 """
 
 from dataclasses import replace
@@ -21,14 +21,17 @@
 from orchidhatch.gateway.times import NEVER, S
 
 REQUEST_INTAKE_FRACTION = 0.25
-"""The fraction of the messages that a gateway may receive which requests for one customer may take."""
+"""The fraction of the messages a gateway can receive that requests for one customer may use."""
 
 RESERVED_BURST_FRACTION = 0.25
-"""The fraction of the burst that is reserved for requests to the leader, not spent by older answers."""
+"""The fraction of the burst reserved for grant requests; older answers do not permit spending it."""
 
 
 def split_plan(plan: Plan, size: int) -> Plan:
-    """The plan of one of `size` gateways that do not gossip; its burst holds one request at least."""
+    """Return the plan of one of `size` gateways that do not gossip.
+
+    Its burst permits at least one request.
+    """
     if size == 1:
         return plan
     max_in_flight = plan.max_in_flight
@@ -45,10 +48,11 @@
 
 
 class Customer:
-    """A customer's state here, composed of its quota, demand, slots and ceiling; times in microseconds.
+    """A customer's state at this gateway: quota, demand, slots and rate ceiling; times in microseconds.
 
-    `size` is the count of gateways that share its plan, `leader` the index of its quota leader. Where
-    gateways may not gossip it is isolated: each goes by its share of the plan as if it were the whole set.
+    `size` is the number of gateways that share the plan, `leader` the index of the quota leader. If gateways
+    may not gossip the customer is isolated: each gateway applies its share of the plan as if it were the
+    whole set.
     """
 
     def __init__(self, plan: Plan, key: CustomerKey, settings: Settings, now_us: int) -> None:
@@ -78,24 +82,25 @@
         self.refilled_us = now_us
         self.last_answer_us = -NEVER
         self.max_requests_per_s = REQUEST_INTAKE_FRACTION * settings.peer_messages_per_s
-        # For how long an answer is used where demand exceeds the requests that the leader can receive.
+        # How long an answer is reused if demand exceeds the requests that the leader can receive.
         self.answer_reuse_us = self.size * S / max(1.0, self.max_requests_per_s)
 
     def change_plan(self, plan: Plan, plan_index: int, now_us: int) -> None:
-        """Go on under another plan; levels and debts scale with the burst, granted slots stay granted."""
+        """Apply another plan: levels and debts scale with the burst, granted slots remain granted."""
         self.refill(now_us)
         self.key = self.key._replace(plan_index=plan_index)
         self.plan = split_plan(plan, self.key.set_size) if self.is_isolated else plan
         self.quota.change_plan(self.plan)
         self.ceiling.change_plan(self.plan)
         if self.needs_leader_slots() and not self.ceiling.ceded_until_us:
-            # The leader may use the share by the reports of others.
+            # Reports of other processes may already let the leader use this share.
             self.ceiling.cede(now_us)
 
     def refill(self, now_us: int) -> "Customer":
-        """Bring the buckets and the demand up to the time; returns the customer.
+        """Refill the buckets and decay the demand up to now; return the customer.
 
-        While the leader's answer is fresh, its demand and level stay, as other gateways spend meanwhile.
+        While the leader's answer is fresh, its demand and level are kept, because other gateways keep
+        spending in the meantime.
         """
         since_us = self.refilled_us
         elapsed_s = (now_us - since_us) / S
@@ -110,16 +115,17 @@
     # --- admission under the quota ---
 
     def chance(self, units: float, known: bool = True) -> float:
-        """The probability with which a request is admitted; `known` says that the leader has answered it.
+        """Return the admission probability; `known` tells whether the leader has answered for this request.
 
-        It is the quota over the summed demand, where the quota is the level of the set and what the plan
-        gives while demand decays. Where a local share holds no whole request, or the leader grants the slots,
-        the leader is asked for each request, and its level decides. A request that goes by an older answer
-        shares what the requests to the leader leave; one without any answer draws on the allowance.
+        The probability is quota divided by summed demand, where the quota is the level of the set plus the
+        units that refill while demand decays. If a local share cannot hold the request, or the leader grants
+        the slots, the leader is asked for each request and its level decides. A request decided by an older
+        answer draws on what requests to the leader leave of the level; one without any answer draws on the
+        allowance.
         """
         level = self.quota.set_level
         if self.is_isolated and self.plan.rate:
-            # No other gateway's demand is known; a request above the burst leaves a debt.
+            # The demand of other gateways is unknown; a request above the burst leaves a debt.
             return float(level >= min(units, self.plan.burst))
         if self.quota.is_too_large_for_share(units) or self.shares_slots():
             if known:
@@ -133,48 +139,53 @@
         return max(0.0, min(1.0, quota / max(units, self.demand.units)))
 
     def level_for_local_decisions(self) -> float:
-        """What requests to the leader leave of the level, over the decay time, to those without one."""
+        """Return the part of the level available to requests decided by an older answer.
+
+        It excludes the reserve and what requests to the leader spend, over the decay time of demand.
+        """
         reserved = RESERVED_BURST_FRACTION * self.plan.burst
         requested = min(self.plan.rate, self.max_requests_per_s) * DEMAND_DECAY_US / S
         return (self.quota.set_level - reserved) * DEMAND_DECAY_US / self.answer_reuse_us - requested
 
     def has_local_share(self, units: float) -> bool:
-        """Whether the local share holds so many units."""
+        """Return whether the local share holds at least `units`."""
         return self.quota.has_local_share(units)
 
     def has_fresh_answer(self, now_us: int) -> bool:
-        """Whether the leader has answered a short time ago."""
+        """Return whether the last answer of the leader is younger than LEADER_ANSWER_TTL_US."""
         return now_us - self.last_answer_us < LEADER_ANSWER_TTL_US
 
     def cannot_have_refilled(self, units: float, now_us: int) -> bool:
-        """Whether by a fresh answer the set's bucket cannot hold so many units yet."""
+        """Return whether, according to a fresh answer, the set's bucket cannot hold `units` yet."""
         return self.has_fresh_answer(now_us) and self.max_level(now_us) < units
 
     def max_level(self, now_us: int) -> float:
-        """What the set's bucket holds at most, by the last answer: others may have spent since.
+        """Return an upper bound of the set's level by the last answer; other gateways may have spent since.
 
-        Before any answer, and from LEADER_ANSWER_TTL_US after it, a refill counts here already.
+        Before any answer, and from LEADER_ANSWER_TTL_US after it, the level already includes refills.
         """
         has_answer = self.last_answer_us > -NEVER
         unrefilled_us = min(now_us - self.last_answer_us, LEADER_ANSWER_TTL_US) if has_answer else 0
         return min(self.plan.burst, self.quota.set_level + self.plan.rate * unrefilled_us / S)
 
     def spend(self, units: float) -> None:
-        """Take units from the bucket of the set; negative units return some."""
+        """Subtract units from the set's bucket; negative units are returned to it."""
         self.quota.spend_from_set(units)
 
     def count_grant(self, units: float) -> None:
-        """Take the units of a grant that is decided here from the bucket of the set."""
+        """Subtract the units of a grant that is decided here from the set's bucket."""
         self.quota.count_grant(units)
 
     def take(self, units: float) -> None:
-        """Take the units of a request at this gateway; negative units return some."""
+        """Spend the units of a request at this gateway; negative units are returned."""
         self.quota.spend_locally(units)
 
     def quota_wait_us(self, units: float, now_us: int) -> float:
-        """In how long the quota has so many units, at the rate that others' demand leaves; NEVER if none.
+        """Return the estimated wait, in microseconds, until the quota holds `units`.
 
-        It is never below 0. Where the level of the set holds them, the request lacked a leader's answer.
+        The estimate uses the rate that the demand of others leaves; NEVER if they leave none. It is never
+        negative. If the level of the set already holds the units, the request only lacked an answer of the
+        leader.
         """
         others_per_s = max(0.0, self.demand.units - units) / DEMAND_DECAY_US * S
         spare_per_s = self.plan.rate - others_per_s
@@ -186,9 +197,9 @@
         return missing / spare_per_s * S
 
     def answer_wait_us(self, units: float, now_us: int) -> float:
-        """In how long so many units may be spent that the level of the set holds, but no answer granted.
+        """Return the estimated wait, in microseconds, until units that the set's level holds may be spent.
 
-        The leader is asked again after the backoff; without a fresh answer the allowance may refill before.
+        The leader is asked again after the backoff; without a fresh answer the allowance may refill earlier.
         """
         backoff_us = max(0.0, self.backoff.next_request_us - now_us)
         if self.has_fresh_answer(now_us):
@@ -196,87 +207,87 @@
         return min(backoff_us, self.quota.allowance_wait_us(units))
 
     def has_unreported_beyond(self, max_units: float) -> bool:
-        """Whether more than so many units are to be reported as requested, as spent or as given back."""
+        """Return whether unreported demand, or units spent or returned, exceed `max_units`."""
         return max(self.demand.unreported_units, abs(self.quota.unreported_spend)) > max_units
 
     def clear_unreported(self) -> None:
-        """Begin a new report: what was requested and spent here has been sent."""
+        """Mark all demand and spending here as reported."""
         self.demand.unreported_units = 0.0
         self.quota.unreported_spend = 0.0
 
     def on_leader_answer(self, demand: float, level: float, now_us: int) -> None:
-        """The leader has answered with the demand and the level of the set."""
+        """Apply the demand and the level of the set that the leader answered."""
         self.last_answer_us = now_us
         self.demand.units = demand
         self.quota.update_set_level(level)
         self.backoff.reset()
 
     def back_off(self, now_us: int, jitter: float) -> None:
-        """The leader did not answer: request nothing for a while, with `chance` from 0 to 1 as jitter."""
+        """Pause requests to a leader that did not answer; `jitter` is from 0 to 1."""
         self.backoff.back_off(now_us, jitter)
 
     # --- rate ceiling ---
 
     def has_ceiling(self) -> bool:
-        """Whether the plan sets a rate ceiling."""
+        """Return whether the plan sets a rate ceiling."""
         return self.plan.ceiling_rate > 0
 
     def lacks_ceiling_units(self, units: float) -> bool:
-        """Whether the rate ceiling has too little for a request, as it was last refilled."""
+        """Return whether the rate ceiling, as last refilled, has too few units for a request."""
         return self.ceiling.lacks(units)
 
     def ceiling_wait_us(self, units: float) -> float:
-        """In how long the local share of the ceiling has so many units."""
+        """Return the wait, in microseconds, until the local share of the ceiling holds `units`."""
         return self.ceiling.wait_us(units)
 
     def charge_ceiling(self, units: float) -> None:
-        """A first attempt of a request of so many units is sent."""
+        """Charge the first attempt of a request to the rate ceiling."""
         self.ceiling.draw(units)
 
     def refund_ceiling(self, units: float) -> None:
-        """A first attempt of so many units was not sent."""
+        """Refund the units of a first attempt that was not sent."""
         self.ceiling.add(units)
 
     def empty_ceiling(self, now_us: int) -> None:
-        """Begin with an empty bucket: another process may have used it up."""
+        """Empty the local share of the ceiling, because another process may have used it."""
         self.refill(now_us)
         self.ceiling.empty()
 
     def cede_ceiling(self, now_us: int) -> None:
-        """A report goes to the leader, which may use the refill of the local share from now on."""
+        """Cede the refill of the local share, which the leader may use from a report on."""
         self.refill(now_us)
         self.ceiling.cede(now_us)
         self.member_slot.reported_us = now_us
 
     def reclaim_ceded_ceiling(self, now_us: int) -> None:
-        """Stop using what other gateways ceded: a successor process would not know of it."""
+        """Stop using refills ceded by other gateways, which a successor process would not know of."""
         self.refill(now_us)
         self.ceiling.drop_received()
 
     # --- concurrency slots ---
 
     def attempt_began(self) -> None:
-        """One more attempt of the customer is in flight."""
+        """Count one more attempt of the customer in flight."""
         self.in_flight += 1
 
     def attempt_ended(self) -> None:
-        """One attempt of the customer is in flight no more."""
+        """Count one attempt of the customer in flight less."""
         self.in_flight -= 1
 
     def shares_slots(self) -> bool:
-        """Whether the open cap is too small to be split over the set, so that the leader grants its slots."""
+        """Return whether the open cap is too small to split over the set, so that the leader grants slots."""
         return 0 < self.plan.max_in_flight < self.size
 
     def needs_leader_slots(self) -> bool:
-        """Whether the slots are granted by another gateway."""
+        """Return whether another gateway grants the slots."""
         return self.shares_slots() and not self.is_leader
 
     def waits_for_leader(self) -> bool:
-        """Whether a member's first attempt needs a granted slot; not while the leader is silent."""
+        """Return whether a member's first attempt needs a granted slot; False while the leader is silent."""
         return self.shares_slots() and not self.member_slot.is_leader_silent()
 
     def lacks_slot(self, now_us: int) -> bool:
-        """Whether the open cap permits no further first attempt."""
+        """Return whether the open cap currently permits no further first attempt."""
         if not self.plan.max_in_flight:
             return False
         if self.shares_slots() and self.is_leader:
@@ -286,11 +297,11 @@
         return self.in_flight >= max(1, self.plan.max_in_flight // self.size)
 
     def slots_in_use(self, now_us: int, excluded_peer: int = -1) -> int:
-        """At the leader: the slots that it and the other gateways use, or were granted."""
+        """As the leader, return the number of slots that it and the other gateways use or were granted."""
         return self.in_flight + self.leader_slots.in_use(now_us, excluded_peer)
 
     def next_slot_peer(self, now_us: int) -> int | None:
-        """At the leader: the gateway to grant a slot to; None where no slot is free or no request fits."""
+        """As the leader, return the gateway to grant a slot to; None if no slot is free or none fits."""
         self.leader_slots.drop_abandoned(now_us)
         if not self.leader_slots.queue or self.slots_in_use(now_us) >= self.plan.max_in_flight:
             return None
@@ -298,15 +309,15 @@
         return self.leader_slots.next_peer(self.ceiling.units)
 
     def grant_slot(self, peer: int, now_us: int) -> float:
-        """At the leader: grant a queued request; returns the units of the ceiling that it asked for."""
+        """As the leader, grant a queued slot request and return the units that it names."""
         units = self.leader_slots.grant(peer, now_us)
         self.ceiling.draw(ceiling_units_of(units))
         return units
 
     def on_slot_answer(self, answer: SlotGrant, units: float, number: int, now_us: int) -> None:
-        """The leader has queued a request for a slot, or granted the slot and so many units as requested.
+        """Apply the leader's answer to a slot request: it was queued, or granted with ceiling `units`.
 
-        A repeated answer grants nothing.
+        A repeated grant has no effect.
         """
         if answer is not SlotGrant.GRANTED:
             self.member_slot.on_queued(now_us)
@@ -315,7 +326,7 @@
             self.ceiling.add(ceiling_units_of(units))
 
     def use_slot(self, now_us: int) -> None:
-        """A first attempt is sent; the leader counts it since its grant, and the next may be requested."""
+        """Record a first attempt; the leader counts it since the grant, so a new slot may be requested."""
         self.member_slot.on_attempt_sent()
         if self.needs_leader_slots():
             self.member_slot.reported_us = now_us
@@ -323,7 +334,7 @@
     # --- handover ---
 
     def snapshot(self) -> CustomerSnapshot:
-        """What is handed over of the customer."""
+        """Return the customer's state for a successor process."""
         return CustomerSnapshot(
             key=self.key,
             refilled_us=self.refilled_us,
@@ -337,7 +348,7 @@
         )
 
     def restore(self, snapshot: CustomerSnapshot) -> None:
-        """Go on from the snapshot; the customer has its key and time already."""
+        """Restore the state from the snapshot; key and refill time are set already."""
         self.quota.local_share = snapshot.share
         self.quota.set_level = snapshot.level
         self.demand.units = snapshot.demand
@@ -347,15 +358,15 @@
         self.quota.unreported_spend = snapshot.unreported_spend
 
     def restore_at(self, snapshot: CustomerSnapshot, now_us: int) -> None:
-        """Go on from a predecessor's snapshot, as of now."""
+        """Restore the state from a predecessor's snapshot, and extend the cession of the ceiling from now."""
         self.restore(snapshot)
         self.ceiling.extend_cession(now_us)
 
     def hand_over_unreported(self) -> float:
-        """Leave the reports to a successor process; returns the units of spending that it is to report."""
+        """Leave reporting to a successor process; return the spent units that it is to report."""
         self.demand.unreported_units = 0.0
         return self.quota.hand_over_unreported()
 
     def take_back_unreported(self) -> None:
-        """The successor has ended: report the spending that was left to it."""
+        """Report handed-over spending here again, because the successor has ended."""
         self.quota.take_back_unreported()
--- a/orchidhatch/gateway/quota_leader.py
+++ b/orchidhatch/gateway/quota_leader.py
@@ -1,4 +1,4 @@
-"""The leader's side of quotas: what members report is added up and answered, and slots are granted."""
+"""The leader side of quotas: counts and answers the reports of members and grants concurrency slots."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -15,9 +15,10 @@
 
 
 class QuotaLeader:
-    """What this gateway counts, answers and grants for the customers that it leads.
+    """Counts, answers and grants for the customers that this gateway leads.
 
-    `queues_unsent` says whether a request of a customer is queued here, never sent, and so needs a slot too.
+    `has_unsent_request` returns whether a queued request of a customer has not been sent yet, so that this
+    gateway also needs a concurrency slot.
     """
 
     def __init__(
@@ -26,7 +27,7 @@
         self.context = context
         self.outbox = outbox
         self.has_unsent_request = has_unsent_request
-        # Customers that other gateways wait for a slot of.
+        # Customers with slot requests from other gateways in the queue.
         self.slot_queues: dict[CustomerKey, Customer] = {}
 
     def answer(
@@ -36,11 +37,14 @@
         requested: float = 0.0,
         slot_grant: SlotGrant = SlotGrant.NONE,
     ) -> None:
-        """Send a gateway the demand and the level of the whole set; `requested` says what is answered."""
+        """Send a gateway the demand and level of the whole set.
+
+        `requested` repeats the units of the grant request that is answered; 0 if there is none.
+        """
         self.send(peer, customer, self.build_answer(peer, customer, requested, slot_grant))
 
     def send_slot_grant(self, peer: int, customer: Customer, units: float, number: int) -> None:
-        """Grant a gateway a slot and so many units of the ceiling, by its request of that number."""
+        """Grant a gateway a slot and units of the rate ceiling for its slot request `number`."""
         answer = self.build_answer(peer, customer, -units, SlotGrant.GRANTED)
         self.send(peer, customer, replace(answer, grant_number=number))
 
@@ -51,7 +55,7 @@
         requested: float,
         slot_grant: SlotGrant = SlotGrant.NONE,
     ) -> GossipMessage:
-        """An answer with what is known here of the whole set."""
+        """Return an answer with the state of the whole set as known here."""
         return GossipMessage(
             *customer.key,
             is_answer=True,
@@ -64,13 +68,13 @@
         )
 
     def send(self, peer: int, customer: Customer, answer: GossipMessage) -> None:
-        """Send a gateway an answer."""
+        """Queue an answer for a gateway, and mark the customer's spending here as reported."""
         if peer != self.context.settings.gateway_index:
             self.outbox.add(peer, answer)
         customer.clear_unreported()
 
     def on_report(self, customer: Customer, message: GossipMessage, sender: int, newly_spent: float) -> None:
-        """Add up what a member requested, and spent newly, and answer what it requests."""
+        """Count the demand and new spending that a member reports, and answer its request."""
         now_us = self.context.now_us
         customer.demand.add_reported(message.demand)
         customer.spend(newly_spent)
@@ -81,7 +85,9 @@
         self.answer_report(customer, message, sender)
 
     def answer_report(self, customer: Customer, message: GossipMessage, sender: int) -> None:
-        """Answer a grant request, queue a slot request, and answer a report while the level is low."""
+        """Answer a grant request, handle a slot request, and answer a report of spending if the level is
+        low.
+        """
         if message.kind is MessageKind.GRANT_REQUEST:
             self.answer_grant_request(customer, message, sender)
             return
@@ -91,27 +97,27 @@
             self.answer(sender, customer)
 
     def answer_grant_request(self, customer: Customer, message: GossipMessage, sender: int) -> None:
-        """Decide on a grant request, answer it, and count its units as spent if they are granted."""
+        """Decide a grant request, answer it, and count its units as spent if they are granted."""
         if message.grant_number == NO_GRANT_NUMBER:
             counted = self.answer_unnumbered(customer, message, sender)
             customer.spend(counted)
         else:
             counted = self.answer_numbered(customer, message, sender)
             customer.count_grant(counted)
-        # A request that is granted units needs a slot at once.
+        # A request that is granted units needs a slot immediately.
         if customer.shares_slots() and counted > 0:
             self.queue_slot_request(customer, message, sender, NO_GRANT_NUMBER)
 
     def answer_unnumbered(self, customer: Customer, message: GossipMessage, sender: int) -> float:
-        """Answer a gateway that decides by the chance itself; returns the units to count, by that chance."""
+        """Answer a gateway that draws at random itself, and return the expected units to count."""
         counted = message.requested * customer.chance(message.requested)
         self.answer(sender, customer, message.requested)
         return counted
 
     def answer_numbered(self, customer: Customer, message: GossipMessage, sender: int) -> float:
-        """Answer with the units that are counted for the number; returns those not counted before.
+        """Answer with the units counted for the request number, and return those not counted before.
 
-        The answer has the level before they are counted, as the member takes what it spends from it.
+        The level in the answer is from before they are counted, because the member subtracts what it spends.
         """
         now_us = self.context.now_us
         number = message.grant_number
@@ -136,7 +142,11 @@
         counted: float,
         already_counted: float = 0.0,
     ) -> None:
-        """Answer a numbered grant request; `already_counted` is what the level here lacks for it."""
+        """Answer a numbered grant request.
+
+        `already_counted` is added to the level: the units that were subtracted for an earlier copy of the
+        request.
+        """
         answer = replace(
             self.build_answer(sender, customer, message.requested),
             spent=counted,
@@ -146,7 +156,7 @@
         self.send(sender, customer, answer)
 
     def answer_slot_request(self, customer: Customer, message: GossipMessage, sender: int) -> None:
-        """Queue a request for a slot, or answer it once more if it was granted already."""
+        """Queue a slot request, or repeat the answer if it has been granted already."""
         granted = customer.leader_slots.repeat_grant(sender, message.grant_number, self.context.now_us)
         if granted is None:
             self.queue_slot_request(customer, message, sender, message.grant_number)
@@ -156,14 +166,15 @@
     def queue_slot_request(
         self, customer: Customer, message: GossipMessage, sender: int, number: int
     ) -> None:
-        """Queue a gateway's request for a slot, with the units that it names where the plan has a ceiling."""
+        """Queue a slot request, with the units that it names if the plan has a rate ceiling."""
         units = message.requested_units if customer.has_ceiling() else SLOT_ONLY_UNITS
         customer.leader_slots.enqueue(sender, units, self.context.now_us, number)
 
     def grant_slots(self, customer: Customer) -> None:
-        """Grant free slots to the members that wait longest.
+        """Grant free slots to the members that have waited longest.
 
-        Requests that are queued here count as one more member: at random, a slot is left to them.
+        Requests queued at this gateway count as one more member: a random draw decides whether a free slot
+        is left to them.
         """
         now_us = self.context.now_us
         slots = customer.leader_slots
@@ -181,15 +192,17 @@
             self.slot_queues.pop(customer.key, None)
 
     def is_slot_for_own_requests(self, waiting_peers: int) -> bool:
-        """Whether a free slot is left to the requests queued here, at random among all that wait."""
+        """Return whether, by a random draw among all waiting gateways, a free slot is left to local
+        requests.
+        """
         return self.context.random.random() * (1 + waiting_peers) < 1
 
     def answer_if_queued(self, peer: int, customer: Customer) -> None:
-        """Answer a gateway whose request for a slot is queued."""
+        """Tell a gateway that its slot request is queued, if it is."""
         if peer in customer.leader_slots.queue:
             self.answer(peer, customer, slot_grant=SlotGrant.QUEUED)
 
     def grant_all_slots(self) -> None:
-        """Grant what time alone has freed: slots by the end of grants and reports, units of the ceiling."""
+        """Grant what expired grants and reports have freed, and what has refilled of the rate ceilings."""
         for customer in list(self.slot_queues.values()):
             self.grant_slots(customer)
--- a/orchidhatch/gateway/quota_leaders.py
+++ b/orchidhatch/gateway/quota_leaders.py
@@ -1,4 +1,4 @@
-"""The customers at this gateway; messages about them go to the leader's side or the member's."""
+"""The customers known to this gateway, with gossip messages dispatched to the leader or the member side."""
 
 from collections.abc import Callable
 
@@ -14,13 +14,17 @@
 from orchidhatch.gateway.times import S
 
 IDLE_CUSTOMER_TTL_US = 60 * S
-"""After how long without a request a customer is forgotten; its burst has refilled by then."""
+"""The idle time after which a customer is forgotten; by then its token bucket is full again."""
 
 
 class QuotaLeaders:
-    """Every customer has one gateway of its set as its leader, which adds up what all request and spend.
+    """The customers known to this gateway, and its side of their quotas as leader or member.
 
-    `queues_unsent` says whether a request of a customer is queued here, never sent, and so needs a slot too.
+    Each customer has one gateway of its set as its quota leader, which sums up what the whole set requests
+    and spends.
+
+    `has_unsent_request` returns whether a queued request of a customer has not been sent yet, so that this
+    gateway also needs a concurrency slot.
     """
 
     def __init__(
@@ -29,18 +33,21 @@
         self.context = context
         self.leader = QuotaLeader(context, outbox, has_unsent_request)
         self.member = QuotaMember(context, outbox, self.is_known)
-        # In the order in which they were last seen.
+        # Ordered by last use, least recent first.
         self.customers: dict[CustomerKey, Customer] = {}
 
     @property
     def slot_queues(self) -> dict[CustomerKey, Customer]:
-        """The customers led here that other gateways wait for a slot of."""
+        """The customers led here with slot requests from other gateways in the queue."""
         return self.leader.slot_queues
 
     # --- customers ---
 
     def customer(self, key: CustomerKey) -> Customer:
-        """The customer, as of now; a new one begins with what the time since the process's start allows."""
+        """Return the customer, refilled up to now, and create it if it is not known.
+
+        A new customer starts with the units that have refilled since the process started.
+        """
         customer = self.customers.pop(key, None)
         if customer is None:
             customer = self.create_customer(key)
@@ -48,7 +55,7 @@
         return customer.refill(self.context.now_us)
 
     def create_customer(self, key: CustomerKey) -> Customer:
-        """A customer that is seen for the first time, or was forgotten."""
+        """Create a customer that is seen for the first time or has been forgotten."""
         now_us = self.context.now_us
         settings = self.context.settings
         customer = Customer(settings.plans[key.plan_index], key, settings, now_us)
@@ -56,15 +63,16 @@
         return customer
 
     def is_in_set(self, key: CustomerKey) -> bool:
-        """Whether this gateway is one of the customer's set and its plan exists."""
+        """Return whether this gateway belongs to the customer's set and the customer's plan exists."""
         settings = self.context.settings
         position = (settings.gateway_index - key.set_first) % settings.gateway_count
         return 0 <= key.plan_index < len(settings.plans) and position < key.set_size
 
     def change_plans(self, new_indices: tuple[int, ...]) -> None:
-        """Put each customer under its plan of the new settings: `moved` has the new index by the old one.
+        """Move each customer to its plan in the new settings.
 
-        Customers whose plan is no more, with an index below zero, are forgotten.
+        `new_indices` maps each old plan index to the new one. Customers whose new index is negative are
+        forgotten: their plan no longer exists.
         """
         plans = self.context.settings.plans
         customers = self.customers.values()
@@ -79,18 +87,18 @@
         self.member.forget_customers()
 
     def is_known(self, customer: Customer) -> bool:
-        """Whether the customer was not forgotten since."""
+        """Return whether the customer is still tracked and has not been forgotten."""
         return self.customers.get(customer.key) is customer
 
     def rekey_customers(self, customers: dict[CustomerKey, Customer]) -> None:
-        """Put a table under the new keys of its customers, without those that were forgotten."""
+        """Rebuild a table under the current keys of its customers and drop forgotten customers."""
         remaining = [customer for customer in customers.values() if customer.key in self.customers]
         customers.clear()
         for customer in remaining:
             customers[customer.key] = customer
 
     def forget_idle(self) -> None:
-        """Forget the customers that were not seen for IDLE_CUSTOMER_TTL_US."""
+        """Forget the customers that have not been used for IDLE_CUSTOMER_TTL_US."""
         oldest_us = self.context.now_us - IDLE_CUSTOMER_TTL_US
         while self.customers:
             key, customer = next(iter(self.customers.items()))
@@ -101,16 +109,16 @@
     # --- admission under the quota ---
 
     def spend(self, customer: Customer, units: float) -> None:
-        """Take the units of a request here; the handover peer is told of it while the plan exists."""
+        """Spend the units of a request here, and notify the handover peer if the customer is still known."""
         customer.take(units)
         self.member.handover.share_spend(customer, units)
 
     def chance(self, customer: Customer, units: float) -> float | None:
-        """The probability of admission by what is known here; None where a grant is to be requested."""
+        """Return the admission probability from local knowledge, or None if a grant must be requested."""
         now_us = self.context.now_us
         is_leader = customer.is_leader
         has_fresh_answer = customer.has_fresh_answer(now_us)
-        # The demand of a fresh answer is the whole set's, which this request is part of.
+        # The demand in a fresh answer covers the whole set and thus includes this request.
         customer.demand.add_local(units, is_included=has_fresh_answer and not is_leader)
         uses_answer = has_fresh_answer and self.exceeds_request_rate(customer)
         if customer.has_local_share(units):
@@ -127,28 +135,35 @@
         return None
 
     def exceeds_request_rate(self, customer: Customer) -> bool:
-        """Whether a request is one that the leader cannot receive at the customer's demand, at random."""
+        """Return whether, by a random draw, this request is not forwarded to the leader.
+
+        The probability grows with the amount by which the customer's demand exceeds the request rate of the
+        leader.
+        """
         requests = customer.max_requests_per_s * DEMAND_DECAY_US / S
         return self.context.random.random() * customer.demand.units > requests
 
     def report_demand(self, customer: Customer) -> None:
-        """Send the customer's leader what was requested and spent here since the last message."""
+        """Report the demand and spending here since the last message to the customer's leader."""
         self.member.report(customer)
 
     def request_grant(self, customer: Customer, units: float) -> GrantRequest:
-        """Ask the customer's leader whether a request of so many units may be admitted."""
+        """Request a grant of units for one request from the customer's leader."""
         return self.member.request_grant(customer, units)
 
     def repeat_grant_request(self, customer: Customer, grant: GrantRequest) -> None:
-        """Ask once more, as messages may be lost."""
+        """Send a grant request again, as the request or its answer may have been lost."""
         self.member.send_grant_request(customer, grant)
 
     def presume_counted(self, customer: Customer, grant: GrantRequest, spent: float) -> None:
-        """A request was decided without the leader's answer, and spends so many units."""
+        """Record that a request was decided without the leader's answer and spends `spent` units.
+
+        The leader is presumed to count those units until it answers or the request expires.
+        """
         self.member.presume_counted(customer, grant, spent)
 
     def return_soon(self, customer: Customer) -> None:
-        """Give the leader back what the customer did not spend, with the next message or soon."""
+        """Schedule a report of the customer's unspent units, unless an earlier message returns them."""
         self.member.return_soon(customer)
 
     # --- messages ---
@@ -159,12 +174,13 @@
         messages: tuple[GossipMessage, ...],
         on_grant_answer: Callable[[GrantAnswer | None], None],
     ) -> None:
-        """Take the messages of a gateway; `answered` gets the answer that a request for a grant waits for.
+        """Process the messages of a gateway and call `on_grant_answer` for each answer from a leader.
 
-        Slots are granted once all messages are read, as a report of attempts may follow a request for a slot.
+        The callback gets the answer that a pending grant request waits for, else None. Slots are granted
+        after all messages are processed, because a report of ended attempts may follow a slot request.
         """
         reported: dict[CustomerKey, Customer] = {}
-        # A slot comes before the answer that admits the request that may use it.
+        # Process granted slots before the answers that admit the requests which may use them.
         for message in sorted(messages, key=lambda message: not message.slot_grant):
             key = CustomerKey(message.customer, message.plan_index, message.set_first, message.set_size)
             if not self.is_in_set(key):
@@ -185,16 +201,16 @@
             self.leader.answer_if_queued(sender, customer)
 
     def adopt_reported_level(self, customer: Customer, level_before: float) -> None:
-        """Begin the count of a customer that is new here at a member's level before what it has spent newly.
+        """Start a customer that is new here at the level of a member before its newly spent units.
 
-        A message has the level after that, which is counted with the message.
+        The level in a message already excludes those units; they are subtracted when the message is counted.
         """
         customer.quota.set_level = min(customer.quota.set_level, level_before)
 
     # --- concurrency slots and the rate ceiling ---
 
     def needs_slot(self, customer: Customer, units: float) -> bool:
-        """Whether a first attempt waits for the open cap or the rate ceiling; requests a slot if needed."""
+        """Return whether a first attempt must wait for a slot or the rate ceiling; request a slot if due."""
         now_us = self.context.now_us
         if customer.needs_leader_slots():
             if customer.member_slot.is_request_due(now_us):
@@ -205,9 +221,9 @@
         return self.at_ceiling(customer, units) or customer.lacks_slot(now_us)
 
     def at_ceiling(self, customer: Customer, units: float) -> bool:
-        """Whether a first attempt has to wait for the rate ceiling.
+        """Return whether a first attempt must wait for the rate ceiling.
 
-        It waits too while an unknown process may use up this gateway's share.
+        It also waits while an unknown handover peer may be using this gateway's share.
         """
         if not customer.has_ceiling():
             return False
@@ -216,30 +232,32 @@
         return customer.refill(self.context.now_us).lacks_ceiling_units(units)
 
     def use_slot(self, customer: Customer) -> None:
-        """A first attempt of the customer is sent."""
+        """Record that a first attempt of the customer was sent."""
         self.member.use_slot(customer)
 
     def renew(self) -> None:
-        """Report attempts again that outlast the last report, give back slots and units, expire grants."""
+        """Send due reports of attempts in flight and of returned slots and units, and expire presumed
+        grants.
+        """
         self.member.renew(self.report_in_flight)
         self.member.send_due_reports()
         self.member.expire_presumed()
 
     def dues(self) -> list[float]:
-        """When `renew` is to be called."""
+        """Return the times at which `renew` is to be called."""
         return self.member.dues()
 
     def expire_presumed_grants(self) -> None:
-        """Wait no longer for answers to requests that were decided on without one."""
+        """Stop waiting for answers to grant requests that were decided without one."""
         self.member.expire_all_presumed()
 
     def report_in_flight(self, customer: Customer) -> None:
-        """An attempt of the customer has ended: notify its leader, or grant free slots here."""
+        """Handle the end of an attempt: report it to the customer's leader, or grant free slots here."""
         if customer.needs_leader_slots():
             self.member.report(customer)
         elif customer.shares_slots():
             self.leader.grant_slots(customer)
 
     def grant_all_slots(self) -> None:
-        """Grant the slots that time alone has freed."""
+        """Grant the slots and ceiling units that became available by the passage of time alone."""
         self.leader.grant_all_slots()
--- a/orchidhatch/gateway/quota_member.py
+++ b/orchidhatch/gateway/quota_member.py
@@ -1,4 +1,4 @@
-"""The member's side of quotas: reports and requests to a customer's quota leader, and its answers."""
+"""The member side of quotas: sends reports and requests to quota leaders and processes their answers."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -14,31 +14,31 @@
 from orchidhatch.gateway.times import NEVER
 
 RETURN_DELAY_US = 80_000
-"""For how long units to give back wait for a message that would report them anyway."""
+"""How long units to return wait for another message that would report them anyway."""
 
 MAX_EXCESS_REPORTS = 8
-"""The reports that go before one message: more would push other messages out of the outbox."""
+"""The maximum number of extra reports before one message; more would evict other messages from the outbox."""
 
 
 class GrantAnswer(NamedTuple):
-    """An answer that a request has waited for, and the probability of admission that it gives."""
+    """The answer to a pending grant request, with the resulting admission probability."""
 
     grant: GrantRequest
     chance: float
 
 
 class PresumedGrant(NamedTuple):
-    """A grant request that was decided on without an answer, and its customer."""
+    """A grant request that was decided without an answer, and its customer."""
 
     customer: Customer
     grant: GrantRequest
 
 
 class QuotaMember:
-    """What this gateway sends the quota leaders of the customers that other gateways lead.
+    """Reports and requests to the quota leaders of the customers that other gateways lead.
 
-    `is_known` says whether a customer was not forgotten since: the key of one whose plan is no more may name
-    another plan, so nothing is sent about it.
+    `is_known` returns whether a customer has not been forgotten. Nothing is sent about a forgotten one: if
+    its plan no longer exists, its key may denote another plan.
     """
 
     def __init__(
@@ -48,19 +48,19 @@
         self.outbox = outbox
         self.is_known = is_known
         self.handover = HandoverSpending(context, is_known)
-        # Customers that a slot is granted to, or whose attempts in flight are to be reported again.
+        # Customers with a granted slot, or with attempts in flight that are reported periodically.
         self.renewals: dict[CustomerKey, Customer] = {}
-        # Grant requests that were decided on without an answer.
+        # Grant requests that were decided without an answer and may still be answered.
         self.presumed: list[PresumedGrant] = []
-        # Customers with units to give back, or that no message could say yet, and by when to report them.
+        # When to report customers with units to return, or with units beyond the range of one message.
         self.report_due_us: dict[Customer, int] = {}
 
     def report(self, customer: Customer) -> None:
-        """Send the leader what was requested and spent here since the last message."""
+        """Report the demand and spending here since the last message to the leader."""
         self.send(customer, 0.0)
 
     def request_grant(self, customer: Customer, units: float) -> GrantRequest:
-        """Ask the leader whether a request of so many units may be admitted; reports too."""
+        """Open a grant request for `units`, and send it to the leader together with a report."""
         number_offset = PREDECESSOR_NUMBER_OFFSET if self.context.has_successor else 0
         grant = customer.grant_requests.open(units, self.context.now_us, number_offset)
         self.send_grant_request(customer, grant)
@@ -72,9 +72,10 @@
         self.send(customer, grant.units, grant.number)
 
     def presume_counted(self, customer: Customer, grant: GrantRequest, spent: float) -> None:
-        """A request was decided without an answer, and spends so many units.
+        """Record that a request was decided without an answer and spends `spent` units.
 
-        A successor reports them at once, as it may be the one that gets the answer, and gives them back.
+        A process with a successor expires it at once: the successor reports the units, and returns them if
+        it receives the answer.
         """
         grant.on_decided_unanswered(spent)
         if self.context.has_successor:
@@ -83,7 +84,7 @@
         self.presumed.append(PresumedGrant(customer, grant))
 
     def expire_presumed(self) -> None:
-        """Settle the presumed grants that were not answered in time."""
+        """Drop the settled presumed grants, and settle those that were not answered in time."""
         now_us = self.context.now_us
         unsettled = [presumed for presumed in self.presumed if presumed.grant.state is GrantState.PRESUMED]
         self.presumed = [presumed for presumed in unsettled if presumed.grant.expires_us > now_us]
@@ -92,7 +93,10 @@
                 self.report_correction(customer)
 
     def expire_all_presumed(self) -> None:
-        """Leave a successor all that was spent as to be reported; a late answer has it give units back."""
+        """Expire all presumed grants, so that the successor reports their units as spent.
+
+        If an answer arrives later, the successor returns the units.
+        """
         for _, grant in self.presumed:
             if grant.state is GrantState.PRESUMED:
                 grant.on_expired()
@@ -100,24 +104,24 @@
         self.report_due_us = {}
 
     def forget_customers(self) -> None:
-        """Forget the grants and units of customers that are not known any more."""
+        """Drop the presumed grants and due reports of customers that are no longer known."""
         self.presumed = [presumed for presumed in self.presumed if self.is_known(presumed.customer)]
         self.report_due_us = {
             customer: due_us for customer, due_us in self.report_due_us.items() if self.is_known(customer)
         }
 
     def return_soon(self, customer: Customer) -> None:
-        """Report the customer's units to give back soon, if there are any and no other message does."""
+        """Schedule a report if the customer has units to return."""
         if customer.quota.unreported_spend < 0:
             self.schedule_report(customer)
 
     def schedule_report(self, customer: Customer) -> None:
-        """Report what is left to be said if no other message does, but see report_correction."""
+        """Schedule a report of units that no other message reports before, unless the leader grants slots."""
         if not customer.is_leader and not customer.shares_slots():
             self.report_due_us.setdefault(customer, self.context.now_us + RETURN_DELAY_US)
 
     def send_due_reports(self) -> None:
-        """Report what no other message has said in time."""
+        """Send the due reports of units that no other message has reported."""
         now_us = self.context.now_us
         due = [customer for customer, due_us in self.report_due_us.items() if due_us <= now_us]
         for customer in due:
@@ -126,23 +130,23 @@
                 self.report(customer)
 
     def report_correction(self, customer: Customer) -> None:
-        """Report at once that the leader has counted too much, or too little.
+        """Report at once that the leader has counted too much or too little.
 
-        Not where the leader grants slots, as a report there ends the use of one.
+        Skipped if the leader grants slots, because it takes such a report as the end of an attempt.
         """
         if not customer.shares_slots():
             self.report(customer)
 
     def request_slot(self, customer: Customer, ceiling_units: float) -> None:
-        """Request a slot, and units of the rate ceiling where the local share lacks them; reports too."""
+        """Request a slot, with units of the rate ceiling if the local share lacks them, and report."""
         customer.member_slot.on_request_sent(self.context.now_us)
         self.send(customer, -slot_request_units(ceiling_units), customer.member_slot.open_number)
 
     def send(self, customer: Customer, requested: float, grant_number: int = NO_GRANT_NUMBER) -> None:
-        """Send the leader a message; `requested` has the sign of the message's kind, see GossipMessage.
+        """Send the leader a message; the sign of `requested` selects its kind, see GossipMessage.
 
-        What was spent beyond the message's range goes in reports before it, and what those cannot say later.
-        Such demand is not said later, as it has decayed by then.
+        Units beyond the range of one message go into reports before it, and spent units beyond those into
+        later reports. Excess demand is not reported later, as it has decayed by then.
         """
         self.handover.share_correction(customer)
         if customer.is_leader or not self.is_known(customer):
@@ -155,7 +159,7 @@
             self.schedule_report(customer)
 
     def report_excess(self, customer: Customer) -> None:
-        """Report what goes beyond the range of one message, not where the leader grants slots."""
+        """Report units beyond the range of one message, unless the leader grants slots."""
         if customer.shares_slots():
             return
         for _ in range(MAX_EXCESS_REPORTS):
@@ -166,10 +170,10 @@
     def add_message(
         self, customer: Customer, requested: float = 0.0, grant_number: int = NO_GRANT_NUMBER
     ) -> None:
-        """Queue a message that says as much of what is to be reported as it can."""
+        """Queue a message that reports as many of the unreported units as fit in it."""
         demand = customer.demand.take_unreported(MAX_AMOUNT_UNITS)
         spent = customer.quota.take_unreported(MAX_AMOUNT_UNITS)
-        # A successor goes on with the stream of reports.
+        # If there is a successor, it continues the report stream.
         now_us = self.context.now_us
         total = None if self.context.has_successor else customer.report_stream.add(spent, now_us)
         message = GossipMessage(
@@ -188,7 +192,7 @@
         self.outbox.add(customer.leader, message)
 
     def on_answer(self, customer: Customer, message: GossipMessage) -> GrantAnswer | None:
-        """Take over what the leader has answered; returns the answer where a request waits for it."""
+        """Apply the leader's answer, and return it if a pending grant request waits for it."""
         now_us = self.context.now_us
         max_level = customer.max_level(now_us)
         customer.on_leader_answer(message.demand, message.level, now_us)
@@ -202,7 +206,7 @@
         return answer
 
     def on_grant_answer(self, customer: Customer, message: GossipMessage) -> GrantAnswer | None:
-        """Settle the grant request that is answered; one that nothing waits for any more gives units back."""
+        """Settle the answered grant request; if it was decided already, return units it did not spend."""
         is_numbered = message.grant_number != NO_GRANT_NUMBER
         counted = counted_units(customer, message)
         grant = self.find_answered_grant(customer, message)
@@ -215,26 +219,26 @@
         self.handover.share_answer(customer, grant)
         if is_awaited:
             return GrantAnswer(grant, counted / message.requested)
-        customer.spend(grant.spent)  # The answer has the level before the request was counted.
+        customer.spend(grant.spent)  # The level in the answer is from before the request was counted.
         if returned:
             self.report_correction(customer)
         return None
 
     def find_answered_grant(self, customer: Customer, message: GossipMessage) -> GrantRequest | None:
-        """The grant request that an answer is for, if it is known."""
+        """Return the grant request that an answer is for, or None if it is not known."""
         requests = customer.grant_requests
         if message.grant_number == NO_GRANT_NUMBER:
             return requests.find_answered_unnumbered(message.requested)
         return requests.find_answered(message.grant_number, message.requested, self.context.now_us)
 
     def use_slot(self, customer: Customer) -> None:
-        """A first attempt of the customer is sent."""
+        """Record that a first attempt of the customer was sent."""
         customer.use_slot(self.context.now_us)
         if customer.needs_leader_slots():
             self.renewals[customer.key] = customer
 
     def renew(self, report_in_flight: Callable[[Customer], None]) -> None:
-        """Report attempts that outlast the last report, and give back granted slots that nothing used.
+        """Report attempts that outlast the last report, and return granted slots that were not used.
 
         `report_in_flight` sends the report of a customer.
         """
@@ -250,14 +254,14 @@
                 del self.renewals[key]
 
     def dues(self) -> list[float]:
-        """When attempts in flight are reported again, slots or units given back, or grants expire."""
+        """Return when attempts must be reported again, slots or units returned, or grants expired."""
         slots_us = [customer.member_slot.due_us() for customer in self.renewals.values()]
         grants_us: list[float] = [grant.expires_us for _, grant in self.presumed]
         return [*slots_us, *grants_us, *self.report_due_us.values()]
 
 
 def counted_units(customer: Customer, message: GossipMessage) -> float:
-    """What the leader has counted with its answer to a grant request."""
+    """Return the units that the leader has counted with its answer to a grant request."""
     if message.grant_number == NO_GRANT_NUMBER:
         return message.requested * customer.chance(message.requested)
     return max(0.0, min(message.requested, message.spent))
--- a/orchidhatch/gateway/spent_total_codec.py
+++ b/orchidhatch/gateway/spent_total_codec.py
@@ -1,7 +1,7 @@
-"""The totals of spent units in a datagram, behind its messages: one for each message that is no answer.
+"""The spent totals in a datagram, after its messages: one for each message that is not an answer.
 
-A total takes the place of two attempt observations, of a request class that no settings have. So a gateway
-of the version before, which knows no totals, reads them as observations and ignores them.
+A total occupies the space of two attempt observations of a request class that no settings contain. A gateway
+of the previous version, which does not know totals, reads them as observations and ignores them.
 """
 
 from collections.abc import Sequence
@@ -19,16 +19,16 @@
 )
 
 TOTAL_BYTES = 8
-"""A total with its two marks."""
+"""The length of a total with its two marks."""
 
 TOTAL_CLASS = 127
-"""The request class of the observations that a total looks like."""
+"""The request class in the two observations that a total is encoded as."""
 
 TOTAL_MARK = bytes([TOTAL_CLASS << 1 | 1])
-"""The third byte of each observation that a total looks like: its class, and a success."""
+"""The third byte of each of those observations: its class, and a success."""
 
 NUMBER_BYTES = 6
-"""A total without its marks, as one number: the stream, the sequence, the steps and the age."""
+"""The length of a total without its marks: stream, sequence, steps and age packed into one number."""
 
 SEQUENCE_BITS = (SEQUENCE_NUMBERS - 1).bit_length()
 STEPS_BITS = (TOTAL_STEPS - 1).bit_length()
@@ -36,19 +36,22 @@
 
 
 def has_totals(messages: Sequence[GossipMessage]) -> bool:
-    """Whether any of the messages has a total."""
+    """Return whether any of the messages has a total."""
     return any(message.spent_total is not None for message in messages)
 
 
 def pack_totals(messages: Sequence[GossipMessage]) -> bytes:
-    """The totals of the messages of one datagram; nothing where none has one."""
+    """Return the encoded totals of one datagram's messages; empty if none has a total."""
     if not has_totals(messages):
         return b""
     return b"".join(pack_total(message.spent_total) for message in messages if not message.is_answer)
 
 
 def pack_total(total: SpentTotal | None) -> bytes:
-    """One total, its units rounded to the nearest step and its age down; None goes as one of no stream."""
+    """Return an encoded total; units are rounded to the nearest step, the age is rounded down.
+
+    None is encoded as a total of NO_STREAM.
+    """
     if total is None:
         total = SpentTotal(NO_STREAM, sequence=0, units=0.0, age_us=0)
     steps = round(total.units * STEPS_PER_UNIT) % TOTAL_STEPS
@@ -63,7 +66,10 @@
 def unpack_totals(
     messages: tuple[GossipMessage, ...], data: bytes
 ) -> tuple[tuple[GossipMessage, ...], bytes]:
-    """The messages with their totals, and the rest of the data; all as it is where the data has no totals."""
+    """Return the messages with their totals, and the remaining data.
+
+    Returns both unchanged if the data contains no totals.
+    """
     reports = [message for message in messages if not message.is_answer]
     end = TOTAL_BYTES * len(reports)
     records = [data[start : start + TOTAL_BYTES] for start in range(0, end, TOTAL_BYTES)]
@@ -77,12 +83,12 @@
 
 
 def is_total(data: bytes) -> bool:
-    """Whether so much of a datagram is a total, by its marks."""
+    """Return whether the bytes are an encoded total, according to their marks."""
     return len(data) == TOTAL_BYTES and data[2:3] == data[6:7] == TOTAL_MARK
 
 
 def unpack_total(data: bytes) -> SpentTotal | None:
-    """A total from its bytes."""
+    """Return the total from its bytes; None if it has no stream."""
     number = int.from_bytes(data[:2] + data[3:6] + data[7:], "big")
     number, age = divmod(number, 1 << AGE_BITS)
     number, steps = divmod(number, 1 << STEPS_BITS)
--- a/orchidhatch/gateway/spent_totals.py
+++ b/orchidhatch/gateway/spent_totals.py
@@ -1,8 +1,9 @@
-"""The total of what a member has reported as spent, on both sides: it makes up for reports that are lost.
+"""Totals of reported spending, kept by member and leader so that lost reports are made up for.
 
-Nobody acknowledges a report, and messages are lost and overtake each other. So each message has the total of
-all reports of its stream, and the leader counts what the total has grown by since the newest message that it
-knows: that of lost messages too. A stream belongs to one customer at one member, from its first report on.
+Reports are not acknowledged, and messages may be lost or reordered. Therefore each message carries the total
+of all reports in its stream, and the leader counts the increase since the newest message that it has
+received, which includes the lost ones. A stream belongs to one customer at one member and starts with its
+first report.
 """
 
 from typing import NamedTuple
@@ -18,20 +19,19 @@
 from orchidhatch.gateway.times import MS, S
 
 STREAM_NUMBER_STEP_US = 4 * MS
-"""After how long another stream has another number: sooner than a process restarts."""
+"""The time after which a new stream gets another number; shorter than the time a process takes to restart."""
 
 REORDERING_US = S // 2
-"""For how long a message that has been overtaken may arrive; one that comes later counts as new."""
+"""How long a reordered message is recognized as such; one that arrives later counts as new."""
 
 STREAM_START_TOLERANCE_US = S // 2
-"""By how much a stream may have begun before its leader knew the customer for its whole total to count.
+"""How long before the customer became known to its leader a stream may have started to count as a whole.
 
-Its first messages may be under way so long; what a leader before this one has counted is older as a rule.
-"""
+Its first messages may be in transit for that long; what an earlier leader has counted is usually older."""
 
 
 class StreamPosition(NamedTuple):
-    """A stream of reports at its member, after the last message."""
+    """The state of a report stream at its member after the last message."""
 
     number: int
     began_us: int
@@ -40,7 +40,7 @@
 
 
 class ReportStream:
-    """A member's reports about one customer; a stream begins with the first of them.
+    """A member's report stream about one customer, which starts with the first report.
 
     `position` is None until then.
     """
@@ -49,7 +49,7 @@
         self.position: StreamPosition | None = None
 
     def add(self, spent: float, now_us: int) -> SpentTotal:
-        """The total in the next message, which reports so many units as spent."""
+        """Add `spent` units to the total and return it for the next message."""
         last = self.position or self._begin(now_us)
         sequence = (last.sequence + 1) % SEQUENCE_NUMBERS
         self.position = last._replace(sequence=sequence, units=(last.units + spent) % TOTAL_UNITS)
@@ -61,7 +61,7 @@
         )
 
     def end(self) -> None:
-        """Begin another stream with the next report: another process may have gone on with this one."""
+        """Start a new stream with the next report, because another process may have continued this one."""
         self.position = None
 
     def _begin(self, now_us: int) -> StreamPosition:
@@ -70,7 +70,7 @@
 
 
 class ReceivedTotal(NamedTuple):
-    """The total of the newest message of a member, and when it came."""
+    """The total in the newest message of a member, and the time of its arrival."""
 
     stream: int
     sequence: int
@@ -79,16 +79,19 @@
 
 
 class ReceivedTotals:
-    """The totals of one customer at its quota leader, by member; `known_since_us` is the customer's start."""
+    """The totals of one customer at its quota leader, by member.
+
+    `known_since_us` is the time at which the customer became known to the leader.
+    """
 
     def __init__(self, known_since_us: int) -> None:
         self.known_since_us = known_since_us
         self.by_peer: dict[int, ReceivedTotal] = {}
 
     def count(self, peer: int, message: GossipMessage, now_us: int) -> float:
-        """The units that a member's message adds to what is counted already; negative ones are given back.
+        """Return the units that a member's message adds to those already counted; negative if returned.
 
-        Those of a message without a total are what it reports.
+        A message without a total adds the units that it reports.
         """
         total = message.spent_total
         if total is None:
@@ -103,7 +106,10 @@
         return self._count_unknown_stream(message.spent, total, now_us)
 
     def _count_unknown_stream(self, spent: float, total: SpentTotal, now_us: int) -> float:
-        """All of a stream that began here; of one that an earlier leader may have counted, this message."""
+        """Count the total of a stream that started here, else only what this message reports.
+
+        An earlier leader may have counted the previous reports of an older stream.
+        """
         began_us = now_us - total.age_us
         is_old = total.age_us >= MAX_STREAM_AGE_US
         if is_old or began_us < self.known_since_us - STREAM_START_TOLERANCE_US:
@@ -112,14 +118,14 @@
 
 
 def is_overtaken(last: ReceivedTotal, total: SpentTotal, now_us: int) -> bool:
-    """Whether a message was sent before the newest that is known of its stream."""
+    """Return whether a message was sent before the newest one received of its stream."""
     if now_us - last.received_us > REORDERING_US:
         return False
     return (total.sequence - last.sequence) % SEQUENCE_NUMBERS >= SEQUENCE_NUMBERS // 2
 
 
 def total_difference(units: float, earlier_units: float) -> float:
-    """By how much a total has changed, where it may have begun again at 0, or gone below that."""
+    """Return the change of a total modulo TOTAL_UNITS, which may be negative."""
     difference = units - earlier_units
     if difference >= TOTAL_UNITS / 2:
         return difference - TOTAL_UNITS
