--- a/orchidhatch/gateway/actions.py
+++ b/orchidhatch/gateway/actions.py
@@ -1,4 +1,4 @@
-"""The actions that the decision core returns for an event, to be executed in order. Times are in us."""
+"""Actions that the decision core returns for an event, in order of execution; times are in microseconds."""
 
 from dataclasses import dataclass
 
--- a/orchidhatch/gateway/admission.py
+++ b/orchidhatch/gateway/admission.py
@@ -125,7 +125,7 @@
         self.queue.dequeue()
 
     def may_exceed_quota(self, customer: Customer) -> bool:
-        """Return whether requests over quota are worth their cost on this plan, and N is lifted."""
+        """Return whether requests over quota gain more than they cost, and no admission limit is in force."""
         plan = customer.plan
         return plan.over_quota_weight > plan.over_quota_cost and self.overload.admission_limit is None
 
--- a/orchidhatch/gateway/attempt_control.py
+++ b/orchidhatch/gateway/attempt_control.py
@@ -70,13 +70,15 @@
         server = request.servers[event.attempt]
         self.requests.close(request)
         self.free_server(server, request, event.attempt)
-        served = AttemptEnded(event.id, True, event.attempt, event.server, AttemptResult.OK, event.latency_us)
-        self.learning.record_attempt(request, server, served)
+        success = AttemptEnded(
+            event.id, True, event.attempt, event.server, AttemptResult.OK, event.latency_us
+        )
+        self.learning.record_attempt(request, server, success)
 
     def free_attempt(self, request: InFlightRequest, event: AttemptEnded) -> None:
         """Remove an ended attempt from its customer and server, and record its result.
 
-        An attempt with a streamed answer was removed from its server, and its success recorded, when the
+        For a streamed answer, the attempt was removed from its server and recorded as a success when the
         stream began; only a failure is recorded here.
         """
         server = request.servers[event.attempt]
@@ -94,14 +96,17 @@
         self.balancer.attempt_ended(server, (request.id, number))
 
     def record_whether_run(self, request: InFlightRequest, result: AttemptResult) -> None:
-        """Count an attempt that has not run; if none of them has, the request is bound to no server."""
+        """Count the attempt if it has certainly not run.
+
+        A request none of whose attempts can have run is bound to no server, and may be rejected.
+        """
         if result in NOT_RUN_RESULTS:
             request.unrun_attempts += 1
         if request.unrun_attempts == len(request.servers):
             request.first_server = None
 
     def retry(self, request: InFlightRequest, result: AttemptResult) -> bool:
-        """Retry after an attempt with that result, at once or from the queue; False if not permitted."""
+        """Retry the request after that result, at once or from the queue; return whether it is retried."""
         if not self.retries.may_retry(request, result):
             return False
         server = self.balancer.choose(request)
--- a/orchidhatch/gateway/candidates.py
+++ b/orchidhatch/gateway/candidates.py
@@ -1,8 +1,8 @@
 """Candidates: the servers that an attempt of a request may go to.
 
 A server is not a candidate while it is ejected, full, or in slow start without credit, or if the request was
-sent to it before. A keyed request that may have run stays within its deduplication scope (the
-operators' rule on repeated side effects). DESIGN leaves the choice of server to the implementation.
+sent to it before. A keyed request that may have run stays within its deduplication scope (the operators'
+rule on repeated side effects). DESIGN leaves the choice of server to the implementation.
 """
 
 from collections.abc import Callable, Sequence
@@ -106,7 +106,7 @@
         return self._select_preferred(self._filter_available(request, sample), connected)
 
     def candidates_in_scope(self, request: InFlightRequest) -> Sequence[ServerRecord]:
-        """Return the candidates for a retry that may only go to some servers, inspecting each of them."""
+        """Return the candidates for a retry that is restricted to some servers, inspecting each of those."""
         allowed = [server for server in self.index.up if self.is_in_scope(request, server)]
         available = self._filter_available(request, allowed)
 
--- a/orchidhatch/gateway/connection_affinity.py
+++ b/orchidhatch/gateway/connection_affinity.py
@@ -1,7 +1,7 @@
 """Connection affinity: prefers servers with an open connection when attempts are sparse.
 
-If attempts, spread evenly, used each connection less than twice before it is closed as idle, most of them
-would have to open a new one. Source: the settings' `conn_idle_us`; DESIGN leaves the choice of server to the
+If evenly spread attempts would use a connection less than twice before it is closed as idle, most of them
+have to open a new one. Source: the settings' `conn_idle_us`; DESIGN leaves the choice of server to the
 implementation.
 """
 
--- a/orchidhatch/gateway/handover_spending.py
+++ b/orchidhatch/gateway/handover_spending.py
@@ -28,7 +28,7 @@
         self.context.send_to_handover_peer(HandoverSpend(customer.key, units, counted))
 
     def share_correction(self, customer: Customer) -> None:
-        """Leave it to a successor to report what the leader has counted in excess, or too little."""
+        """Leave it to a successor to report the units that the leader has overcounted or undercounted."""
         if self.context.has_successor and customer.quota.unreported_spend:
             self.share_spend(customer, 0.0)
 
--- a/orchidhatch/gateway/in_flight.py
+++ b/orchidhatch/gateway/in_flight.py
@@ -45,5 +45,5 @@
     def may_reject(self) -> bool:
         """Return whether a client's retry after a rejection cannot make the request run twice."""
         idempotency = self.rule.idempotency
-        has_key = idempotency is Idempotency.KEYED and self.rule.dedup_scope is DeduplicationScope.ALL
-        return self.first_server is None or idempotency is Idempotency.SAFE or has_key
+        is_deduplicated = idempotency is Idempotency.KEYED and self.rule.dedup_scope is DeduplicationScope.ALL
+        return self.first_server is None or idempotency is Idempotency.SAFE or is_deduplicated
--- a/orchidhatch/gateway/load_balancing.py
+++ b/orchidhatch/gateway/load_balancing.py
@@ -141,5 +141,5 @@
 
     def _answered_others(self, server: ServerRecord, result: AttemptResult, latency_us: int) -> bool:
         """Return whether the attempt timed out while the server answered others, which shows no fault."""
-        began_us = self.context.now_us - latency_us
-        return result is AttemptResult.TIMEOUT and server.last_answer_us >= began_us
+        sent_us = self.context.now_us - latency_us
+        return result is AttemptResult.TIMEOUT and server.last_answer_us >= sent_us
--- a/orchidhatch/gateway/metrics.py
+++ b/orchidhatch/gateway/metrics.py
@@ -57,7 +57,9 @@
         overload = self.overload
         counters = self.counters
         messages = self.outbox.tally
-        latencies_ms = ",".join(f"{mean_us / 1000:.0f}" for mean_us in self.balancer.mean_latencies_us)
+        latencies_ms = ",".join(
+            f"{mean_latency_us / 1000:.0f}" for mean_latency_us in self.balancer.mean_latencies_us
+        )
         return (
             f"cap {self.format_limit()} occupancy {overload.occupancy:.2f}"
             f" rate {overload.admissions_per_s:.0f}/s"
--- a/orchidhatch/gateway/outlier_detection.py
+++ b/orchidhatch/gateway/outlier_detection.py
@@ -16,7 +16,7 @@
 NEUTRAL_FAULT_SCORE = 1.0
 MIN_FAULT_SCORE = 0.25
 MAX_FAULT_SCORE = 4.0
-# Lower scores may be random: all gateways see the same ones, and would flood the server that seems best.
+# Lower scores may be due to chance: all gateways see the same, and would flood the server that seems best.
 TOLERATED_FAULT_SCORE = 1.5
 # Reached by two failures in a row, or by a mix with more failures than answers.
 EJECTION_FAILURE_SCORE = 1.7
--- a/orchidhatch/gateway/overload.py
+++ b/orchidhatch/gateway/overload.py
@@ -82,7 +82,7 @@
         self.context = context
         self.admission_limit: float | None = None
         self.period_limit = 0
-        # Carries over what rounding down has cut off; random at first, so that gateways round up in turn.
+        # Remainder of rounding down, carried to the next period; random at first, so that gateways differ.
         self.limit_remainder = context.random.random()
         self.occupancy = 0.0
         self.overhead = 1.0
@@ -91,7 +91,7 @@
         self.period_start_us = -1
         self.period_length_us = CALL_CONTROL_PERIOD_US
         self.admissions_per_s = 0.0
-        self.samples: dict[OccupancySignal, list[float]] = empty_samples()
+        self.samples: dict[OccupancySignal, list[float]] = new_sample_lists()
 
     def observe(self, signal: OccupancySignal, occupancy: float) -> None:
         """Add an occupancy sample to this period."""
@@ -105,14 +105,14 @@
         take long to recover.
         """
         elapsed_us = self.context.now_us - self.period_start_us + TICK_US
-        elapsed = min(1.0, elapsed_us / self.period_length_us)
-        gateways = self.context.settings.gateway_count
-        max_in_flight = max(MIN_IN_FLIGHT_LIMIT, round(ATTEMPTS_PER_SERVER * warm_capacity / gateways))
+        elapsed_fraction = min(1.0, elapsed_us / self.period_length_us)
+        gateway_count = self.context.settings.gateway_count
+        max_in_flight = max(MIN_IN_FLIGHT_LIMIT, round(ATTEMPTS_PER_SERVER * warm_capacity / gateway_count))
         if self.in_flight >= max_in_flight:
             return False
         if self.admission_limit is None:
             return True
-        return self.admitted_this_period < math.ceil(self.period_limit * elapsed)
+        return self.admitted_this_period < math.ceil(self.period_limit * elapsed_fraction)
 
     def end_period(self) -> None:
         """End the control period, and update the admission rate."""
@@ -121,17 +121,17 @@
         weight = RATE_SMOOTHING if self.admissions_per_s else 1
         self.admissions_per_s += weight * (period_rate - self.admissions_per_s)
 
-    def begin_period(self, servers: int, overdue_ages: Callable[[], Iterable[float]]) -> None:
+    def begin_period(self, server_count: int, overdue_ages: Callable[[], Iterable[float]]) -> None:
         """Set the length and the limit of the next control period from the results of the last one.
 
-        `servers` is the number of servers that may be sent new work; `overdue_ages` is passed to `update`.
+        `server_count` counts the servers that may be sent new work; `overdue_ages` is passed to `update`.
         """
-        self.update(self.admitted_this_period, servers, overdue_ages)
+        self.update(self.admitted_this_period, server_count, overdue_ages)
         last_length_us = self.period_length_us
-        periods = min(
+        period_count = min(
             MAX_CALL_CONTROL_PERIODS, round(MIN_ADMISSIONS_PER_PERIOD / max(1.0, self.admissions_per_s))
         )
-        self.period_length_us = CALL_CONTROL_PERIOD_US * max(1, periods)
+        self.period_length_us = CALL_CONTROL_PERIOD_US * max(1, period_count)
         if self.admission_limit is not None:
             self.admission_limit *= self.period_length_us / last_length_us
             self.round_limit(self.admission_limit)
@@ -140,13 +140,14 @@
     def round_limit(self, n: float) -> None:
         """Round N down for the next period, and keep the remainder for the one after (section 2, step 3).
 
-        With many gateways each one's share is small: without the remainder, rounding would determine it.
+        With many gateways each one's share is small, and rounding alone would determine it without the
+        remainder.
         """
         with_remainder = n + self.limit_remainder
         self.period_limit = math.floor(with_remainder)
         self.limit_remainder = with_remainder - self.period_limit
 
-    def update(self, na_past: float, servers: int, overdue_ages: Callable[[], Iterable[float]]) -> None:
+    def update(self, na_past: float, server_count: int, overdue_ages: Callable[[], Iterable[float]]) -> None:
         """Update N, lift it in light traffic, or engage it (section 2; DESIGN, signal).
 
         `overdue_ages` returns the ages of attempts that take longer than usual, as occupancies: while servers
@@ -157,7 +158,7 @@
         signal = OccupancySignal.UTILIZATION if has_reports else OccupancySignal.LATENCY
         targets = TARGETS[signal]
         samples = self.samples[signal]
-        self.samples = empty_samples()
+        self.samples = new_sample_lists()
         if signal is OccupancySignal.LATENCY:
             samples += overdue_ages()
         if not samples:
@@ -169,29 +170,29 @@
             self.admission_limit = None
             return
         # Compute the N of all gateways, so that rounding it down matters less.
-        gateways = self.context.settings.gateway_count
-        seconds = self.period_length_us / S
+        gateway_count = self.context.settings.gateway_count
+        period_s = self.period_length_us / S
         n_past = self.admission_limit
         if n_past is None:
-            n_past = self.first_limit(na_past, servers)
+            n_past = self.first_limit(na_past, server_count)
         overhead = min(self.overhead, targets.min_occup / 2)
-        n_of_all = next_n(
-            round(n_past * gateways), na_past * gateways, occup_past, overhead, targets, seconds
+        n_of_all_gateways = next_n(
+            round(n_past * gateway_count), na_past * gateway_count, occup_past, overhead, targets, period_s
         )
-        self.admission_limit = n_of_all / gateways
+        self.admission_limit = n_of_all_gateways / gateway_count
 
     def has_few_admissions(self, na_past: float) -> bool:
-        """Return whether N is lifted, or too little of it was used for it to have an effect."""
+        """Return whether N is lifted, or NA was too small a fraction of N for N to have an effect."""
         return self.admission_limit is None or na_past < MIN_FRACTION_CALLS * self.admission_limit
 
-    def first_limit(self, na_past: float, servers: int) -> float:
+    def first_limit(self, na_past: float, server_count: int) -> float:
         """Return this gateway's initial N: a few attempts per server, but at least the past admissions."""
-        gateways = self.context.settings.gateway_count
-        attempts = ATTEMPTS_PER_SERVER * servers * self.period_length_us // S // gateways
+        gateway_count = self.context.settings.gateway_count
+        attempts = ATTEMPTS_PER_SERVER * server_count * self.period_length_us // S // gateway_count
         return max(1, attempts, round(na_past))
 
 
-def empty_samples() -> dict[OccupancySignal, list[float]]:
+def new_sample_lists() -> dict[OccupancySignal, list[float]]:
     """Return the empty sample lists of a new period."""
     return {signal: [] for signal in OccupancySignal}
 
@@ -202,23 +203,23 @@
     occup_past: float,
     overhead: float,
     targets: OccupancyTargets,
-    seconds: float = 1.0,
+    period_s: float = 1.0,
 ) -> int:
     """Return N for the next control period by the paper's algorithm (section 2, steps 1 to 3), at least 1.
 
-    `n_past` and `na_past` are N and the admissions of the last period, which lasted `seconds`; the other
+    `n_past` and `na_past` are N and the admissions of the last period, which lasted `period_s`; the other
     arguments are fractions.
     """
     if occup_past < targets.min_occup and na_past < MIN_FRACTION_CALLS * n_past:
         return n_past
-    lowest = n_past * (1 - MAX_DECREASE_PER_S) ** seconds
-    highest = n_past * (1 + MAX_INCREASE_PER_S) ** seconds
+    lowest = n_past * (1 - MAX_DECREASE_PER_S) ** period_s
+    highest = n_past * (1 + MAX_INCREASE_PER_S) ** period_s
     if occup_past <= overhead:  # Not in the paper: step 1 has no solution.
         n_prelim = highest
     else:
         n_prelim = (targets.max_occup - overhead) / (occup_past - overhead) * na_past
     if occup_past >= targets.occ_too_high:
-        n_next = max(n_prelim, lowest) * (1 - ADDL_DECREMENT_PER_S) ** seconds
+        n_next = max(n_prelim, lowest) * (1 - ADDL_DECREMENT_PER_S) ** period_s
     elif n_prelim - n_past >= 1 and highest - n_past < 1:
         n_next = n_past + 1
     else:
--- a/orchidhatch/gateway/request_queue.py
+++ b/orchidhatch/gateway/request_queue.py
@@ -101,7 +101,7 @@
             is_blocked = is_blocked or not self.has_admission_capacity()
 
     def must_wait(self, request: InFlightRequest, is_blocked: bool) -> bool:
-        """Return whether the request lacks more than a server; `is_blocked` bars all first attempts."""
+        """Return whether the request waits for more than a server; `is_blocked` holds back first attempts."""
         if request.servers:
             return False
         return is_blocked or self.quotas.needs_slot(request.customer, request.units)
@@ -147,7 +147,7 @@
         return self.limit_reason()
 
     def limit_reason(self) -> RejectionReason:
-        """Return what a request waits for that has a concurrency slot and is under its rate ceiling."""
+        """Return what a request waits for if neither concurrency slot nor rate ceiling holds it back."""
         if self.has_admission_capacity():
             return RejectionReason.SERVER
         return RejectionReason.ADMISSION_LIMIT
--- a/orchidhatch/gateway/retries.py
+++ b/orchidhatch/gateway/retries.py
@@ -59,12 +59,14 @@
         now_us = self.context.now_us
         mean_latency_us = self.mean_latency_us(request)
         until_deadline_us = request.deadline_us - now_us
-        early_us = round(request.objective_due_us - now_us - LATENCIES_FOR_ANOTHER_ATTEMPT * mean_latency_us)
+        early_timeout_us = round(
+            request.objective_due_us - now_us - LATENCIES_FOR_ANOTHER_ATTEMPT * mean_latency_us
+        )
         is_unsafe = request.rule.idempotency is Idempotency.UNSAFE
         is_last = is_unsafe or len(request.servers) >= self.context.settings.max_attempts
-        if is_last or early_us < MIN_TIMEOUT_LATENCIES * mean_latency_us:
+        if is_last or early_timeout_us < MIN_TIMEOUT_LATENCIES * mean_latency_us:
             return max(1, until_deadline_us)
-        return max(1, min(until_deadline_us, early_us))
+        return max(1, min(until_deadline_us, early_timeout_us))
 
     def start_within_us(self, request: InFlightRequest) -> int:
         """Return the time within which the attempt must be written, in microseconds; 0 for no limit.
--- a/orchidhatch/gateway/simulator.py
+++ b/orchidhatch/gateway/simulator.py
@@ -44,15 +44,15 @@
         self.report_names: dict[int, list[str]] = {}
         self.endpoint_lists: dict[int, tuple[Endpoint, ...]] = {}
         # The instance that receives the next events of the batch, and that of the last actions in the reply.
-        self.target: int | None = None
-        self.replying: int | None = None
+        self.target_instance: int | None = None
+        self.reply_instance: int | None = None
         self.now_us = 0
 
     def start_batch(self, now_us: int) -> None:
         """Start a batch, whose events all occur at that time."""
         self.now_us = now_us
-        self.target = None
-        self.replying = None
+        self.target_instance = None
+        self.reply_instance = None
 
     def handle(self, name: str, values: list[str], lines: Iterator[str]) -> list[str]:
         """Handle one message and return the reply's lines for it.
@@ -62,26 +62,28 @@
         """
         fields = Fields(values)
         if name == "TARGET_INSTANCE":
-            self.target = fields.integer()
+            self.target_instance = fields.integer()
             return []
         if name == "SHEET":
             number = fields.integer()
             count = fields.integer()
             self.endpoint_lists[number] = read_endpoints(lines, count)
             return []
-        if self.target is None:
+        if self.target_instance is None:
             raise WireError("no target instance is set")
         if name == "NEW_INSTANCE":
-            self._start(self.target, fields)
+            self._start(self.target_instance, fields)
             return []
-        if self.target not in self.gateways:
-            raise WireError(f"unknown instance {self.target}")
+        if self.target_instance not in self.gateways:
+            raise WireError(f"unknown instance {self.target_instance}")
         if name == "KILLED":
-            del self.gateways[self.target]
+            del self.gateways[self.target_instance]
             return []
         if name == "UPDATE":
-            return self._decide(self.target, self._read_list(fields))
-        return self._decide(self.target, read_event(name, fields, self.report_names[self.target]))
+            return self._decide(self.target_instance, self._read_list(fields))
+        return self._decide(
+            self.target_instance, read_event(name, fields, self.report_names[self.target_instance])
+        )
 
     def _start(self, instance: int, fields: Fields) -> None:
         """Create a decision core from its seed and settings."""
@@ -109,8 +111,8 @@
             raise CoreError(f"{type(error).__name__}: {error}") from error
         texts = [write_action(action) for action in actions if not isinstance(action, WaitTimes)]
         lines = [text for text in texts if text]
-        if lines and self.replying != instance:
-            self.replying = instance
+        if lines and self.reply_instance != instance:
+            self.reply_instance = instance
             lines.insert(0, f"CONTEXT {instance}")
         return lines
 
@@ -145,7 +147,7 @@
         try:
             reply += host.handle(name, values, lines)
         except CoreError as error:
-            reply += [f"CONTEXT {host.target}", f"FAULT {one_line(str(error))}"]
+            reply += [f"CONTEXT {host.target_instance}", f"FAULT {one_line(str(error))}"]
     raise WireError("the input ends within a batch")
 
 
--- a/orchidhatch/gateway/slow_start.py
+++ b/orchidhatch/gateway/slow_start.py
@@ -61,7 +61,10 @@
         return self.context.now_us < server.warm_at_us
 
     def weight(self, server: ServerRecord) -> float:
-        """Return the slow-start weight: the capacity fraction a server has at least, above 0 and up to 1."""
+        """Return the slow-start weight of a server, above 0 and at most 1.
+
+        It is the fraction of its capacity that the server has at least.
+        """
         now_us = self.context.now_us
         if now_us >= server.warm_at_us:
             return 1.0
--- a/tests/gateway/test_overload.py
+++ b/tests/gateway/test_overload.py
@@ -9,7 +9,7 @@
 from orchidhatch.gateway.endpoints import EndpointListKind
 from orchidhatch.gateway.events import EndpointList, PeerMessage
 from orchidhatch.gateway.gossip import AttemptObservation, GossipMessage
-from orchidhatch.gateway.overload import TARGETS, OccupancySignal, empty_samples, next_n
+from orchidhatch.gateway.overload import TARGETS, OccupancySignal, new_sample_lists, next_n
 from orchidhatch.gateway.settings import Plan
 from tests.helpers import MS, SETTINGS, S, World, loaded_world, servers
 
@@ -120,7 +120,7 @@
     assert overload.admission_limit * S / overload.period_length_us == pytest.approx(2.4, abs=0.03)
     admissions = 0
     overload.admission_limit = 0.25
-    overload.samples = empty_samples()
+    overload.samples = new_sample_lists()
     for _ in range(40):
         gateway.end_period()
         overload.admission_limit = 0.25
