--- a/orchidhatch/proxy/__main__.py
+++ b/orchidhatch/proxy/__main__.py
@@ -4,8 +4,8 @@
 import sys
 
 if __name__ == "__main__":
-    # A SIGHUP during the start, which takes a quarter of a second, has to wait until it can be handled: it
-    # would end the process.
+    # Blocks SIGHUP during the start, which takes a quarter of a second: without a handler it would terminate
+    # the process.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     from orchidhatch.proxy.main import main
 
--- a/orchidhatch/proxy/clock.py
+++ b/orchidhatch/proxy/clock.py
@@ -1,8 +1,8 @@
-"""The process's clock: monotonic, so that a step of the wall clock moves no deadline, window or wait."""
+"""The process's clock; it is monotonic, so that wall clock steps affect no deadline, window or delay."""
 
 import time
 
 
 def now_us() -> int:
-    """Microseconds of the machine's monotonic clock, which all of its processes share."""
+    """Return the microseconds of the monotonic clock, which all processes of the machine share."""
     return time.monotonic_ns() // 1000
--- a/orchidhatch/proxy/config.py
+++ b/orchidhatch/proxy/config.py
@@ -13,23 +13,23 @@
 SPARE_SOCKETS = 64
 """For listening, management, discovery, peers, the event loop and the log."""
 MIN_SOCKETS = SPARE_SOCKETS + 16
-"""With some for clients and some for backends."""
+"""Spare sockets and a few for clients and backends."""
 MAX_PORT = 65535
-POLICY_MARKS = 255
-"""Marks that tell a policy in gossip from the few before and after it."""
+POLICY_MARK_COUNT = 255
+"""Number of marks that distinguish a policy in gossip from the policies shortly before and after it."""
 
 
 class ConfigError(Exception):
-    """The environment or the configuration is not usable; the text is one plain line."""
+    """The environment or the configuration is unusable; the text is a single line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """The policy that the settings' plans, objectives and bans come from, as the agent wrote it.
+    """The policy behind the settings' plans, latency objectives and bans, as the agent wrote it.
 
-    `number` is that of the decision, `digest` that of the document ("" for the gateway's own settings).
-    Discovery may be silent for `silent_s`; the policy is in force until `until_us` by this machine's
-    monotonic clock (0 for no end).
+    `number` is the number of the policy decision, `digest` the digest of the policy document ("" for the
+    gateway's own settings). `silent_s` is how long discovery may be silent before admission is suspended. The
+    policy is in force until `until_us` of this machine's monotonic clock (0 means no end).
     """
 
     number: int
@@ -38,21 +38,21 @@
     until_us: int = 0
 
     def mark(self) -> int:
-        """The policy's mark in gossip, never 0."""
-        return 1 + self.number % POLICY_MARKS
+        """Return the policy's mark in gossip, which is never 0."""
+        return 1 + self.number % POLICY_MARK_COUNT
 
     def log_text(self) -> str:
-        """The policy as log lines name it."""
+        """Return the policy's description for log lines."""
         return f"policy {self.number} {self.digest or '-'}"
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """A gateway's own address, whom it talks to, its limits, and the decision core's settings.
+    """The addresses of a gateway and of its peers, its limits, and the decision core's settings.
 
-    `socket_fd` is the clients' listening socket where the platform holds it, `shared` the directory that the
-    gateway shares with its successor, `policy` what its agent put it under, if anything. With
-    `traces_policy` each answer is logged with the policy that the request was admitted by.
+    `socket_fd` is the inherited listening socket for clients, None if the gateway opens it itself.
+    `shared_directory` is the directory that the gateway shares with its successor, `policy` the policy set by
+    its agent, if any. With `traces_policy` each answer is logged with the policy that admitted the request.
     """
 
     name: str
@@ -68,36 +68,39 @@
     max_open: int
     sockets: int
     memory_mb: int
-    known: Mapping[str, Any]
+    known_endpoint_list: Mapping[str, Any]
     peer_listen: Address | None = None
     peers: tuple[Address, ...] = ()
     management: Address | None = None
     socket_fd: int | None = None
-    shared: Path | None = None
+    shared_directory: Path | None = None
     policy: Policy | None = None
     traces_policy: bool = False
 
 
-def read_address(text: str) -> Address:
-    """An address of the form host:port. Raises ConfigError."""
+def parse_address(text: str) -> Address:
+    """Return the address in a text of the form host:port. Raises ConfigError if it is malformed."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
-        raise ConfigError(f"'{text}' is not an address")
+        raise ConfigError(f"'{text}' is not an address of the form host:port")
     return host, int(port)
 
 
 def read_backend(text: str) -> Address:
-    """A backend's address. Raises ConfigError for a name: looking one up would block the event loop."""
-    host, port = read_address(text)
+    """Return a backend's address.
+
+    Raises ConfigError for a host name, as resolving it would block the event loop.
+    """
+    host, port = parse_address(text)
     try:
         ipaddress.IPv4Address(host)
     except ValueError as error:
-        raise ConfigError(f"'{text}' is no IPv4 address with a port") from error
+        raise ConfigError(f"'{text}' is not an IPv4 address with a port") from error
     return host, port
 
 
 def describe(config: Config) -> str:
-    """The settings that a gateway's metrics are read against, as one line for the log."""
+    """Return the settings needed to interpret a gateway's metrics, as one log line."""
     settings = config.settings
     parts = [f"front door {settings.gateway_index} of {settings.gateway_count}"]
     parts += [describe_class(name, settings.classes[number]) for name, number in config.class_numbers.items()]
@@ -111,13 +114,15 @@
     return "; ".join(parts)
 
 
-def describe_class(name: str, rule: RequestClass) -> str:
-    """A request class by its name, with its times in milliseconds."""
-    return f"{name} aim {rule.latency_objective_us // 1000} ms of {rule.deadline_us // 1000}"
+def describe_class(name: str, request_class: RequestClass) -> str:
+    """Return a request class's name, latency objective and deadline, in milliseconds."""
+    return (
+        f"{name} aim {request_class.latency_objective_us // 1000} ms of {request_class.deadline_us // 1000}"
+    )
 
 
 def describe_plan(name: str, plan: Plan) -> str:
-    """A plan by its name, with its quota, open cap and ceiling."""
+    """Return a plan's name, quota, concurrency limit and rate ceiling."""
     return (
         f"{name} {plan.rate:.4g}/s burst {plan.burst:.4g} out {plan.max_in_flight}"
         f" ceiling {plan.ceiling_rate:.4g}/s burst {plan.ceiling_burst:.4g}"
--- a/orchidhatch/proxy/configuration_reload.py
+++ b/orchidhatch/proxy/configuration_reload.py
@@ -1,4 +1,4 @@
-"""Changes of the configuration while the gateway serves: the watch's address, and the policy."""
+"""Configuration changes while the gateway serves: the address of discovery and the policy."""
 
 import logging
 
@@ -31,21 +31,21 @@
         self.policy_guard = policy_guard
 
     def reload(self, config: Config) -> None:
-        """Take over the address of discovery and the policy; everything else stays as it is."""
+        """Apply the address of discovery and the policy; ignore all other changes."""
         log.info("read the configuration again; discovery is at %s:%d", *config.discovery)
         self.discovery.move(config.discovery)
         if config.policy and config.policy != self.active.config.policy:
             self.switch_policy(config)
 
     def switch_policy(self, config: Config) -> None:
-        """Apply another policy's plans, latency objectives and bans from the next request on."""
+        """Apply a policy's plans, latency objectives and bans to new requests."""
         if config.class_numbers != self.active.config.class_numbers:
-            log.error("kept the old policy: the new file has other classes")
+            log.error("kept the old policy: the new configuration changes the request classes")
             return
         new = config.settings
         names = self.active.plan_names
         new_plan_numbers = tuple(config.plan_numbers.get(names[number], -1) for number in range(len(names)))
-        self.dispatcher.run_batch()  # what has come so far was admitted by the old policy
+        self.dispatcher.run_batch()  # earlier events are processed under the old policy
         self.dispatcher.post(
             PolicyChange(new.classes, new.plans, new.banned_customers, new.policy_mark, new_plan_numbers)
         )
@@ -54,4 +54,4 @@
         self.peers.policy_mark = new.policy_mark
         self.policy_guard.policy = config.policy
         self.policy_guard.begin(is_suspended=False)
-        log.info("goes by %s", config.policy.log_text())
+        log.info("applied %s", config.policy.log_text())
--- a/orchidhatch/proxy/handover.py
+++ b/orchidhatch/proxy/handover.py
@@ -1,11 +1,12 @@
-"""Taking over from the process that serves, and handing over to the next: one gateway in two processes.
+"""The handover protocol between two processes of one gateway, predecessor and successor.
 
-The process that serves listens at a Unix socket in the directory that both share. A new process asks there
-for the state, goes on from it, serves, and says so; then the old one releases the addresses. As long as the
-connection lives, each sends the other what the decision core spends, sends and hears of.
+The serving process listens on a Unix socket in a directory that both processes share. A new process requests
+the state there, restores it, starts to serve and reports that; then the old process releases the addresses.
+While the connection is open, each process sends the other the spending, attempts and ejections of its
+decision core.
 
-The protocol is lines of JSON. A line that is malformed, too long or of another version ends the connection,
-and the new process starts as after a restart.
+Messages are lines of JSON. A line that is malformed, too long or of another version closes the connection,
+and the new process starts without the predecessor's state, as after a restart.
 """
 
 import asyncio
@@ -31,18 +32,18 @@
 log = logging.getLogger(__name__)
 
 VERSION = 1
-LINE_LIMIT_BYTES = 8 << 20  # some ten thousand customers
-UNSENT_LIMIT_BYTES = 8 << 20  # a process that does not read this much any more is taken for gone
-ANSWER_TIMEOUT_S = 2.0  # for the state to come, and for the addresses to be released
-RETRY_S = 0.25  # while the other process is itself still taking over
-RETRY_LIMIT = 20
+MAX_LINE_BYTES = 8 << 20  # about ten thousand customers
+MAX_UNSENT_BYTES = 8 << 20  # a peer with more unread is treated as gone
+ANSWER_TIMEOUT_S = 2.0  # for the state, and for the release of the addresses
+RETRY_INTERVAL_S = 0.25  # while the other process has another handover in progress
+MAX_TAKE_OVER_ATTEMPTS = 20
 SOCKET_COUNT_PERIOD_S = 0.2
 OPTIONAL_FIELDS = "optional"
-"""Where a line has the fields that a peer of the version before does not know."""
+"""The key of the fields that a process of the previous version does not know."""
 
 
-class Verb(Enum):
-    """What a line says, by its name on the wire; the other names are those of the handover messages."""
+class ControlMessage(Enum):
+    """Control messages by their wire name; all other lines are messages of the decision core."""
 
     TAKE_OVER = "take over"
     NOT_NOW = "not now"
@@ -52,43 +53,43 @@
     SOCKETS = "sockets"
 
 
-VERBS = {verb.value: verb for verb in Verb}
+CONTROL_MESSAGES = {control_message.value: control_message for control_message in ControlMessage}
 
 
 def optional_fields(record: object) -> dict[str, object]:
-    """What a line has in addition to a record's list; nothing where the list says all."""
+    """Return the optional fields of a record as fields of a line; empty if the record has none."""
     optional = optional_to_plain(record)
     return {OPTIONAL_FIELDS: optional} if optional else {}
 
 
 class HandoverError(ValueError):
-    """A line of the other process that does not fit the protocol; it ends the connection."""
+    """A line of the other process violates the protocol; the connection is closed."""
 
 
 class HandoverHost(Protocol):
-    """What of the gateway's process is asked here."""
+    """The part of the gateway process that the protocol calls."""
 
-    def handover_state(self) -> dict[str, Any]:
-        """The fields of the line that a successor goes on from."""
+    def create_handover_state(self) -> dict[str, Any]:
+        """Return the fields of the state message for a successor."""
 
     def resume(self, state: GatewaySnapshot, known: Mapping[str, Any]) -> None:
-        """Go on from the predecessor's state and its endpoint list."""
+        """Restore the predecessor's state and endpoint list."""
 
     def release(self) -> None:
         """Stop accepting, and release the addresses, as the successor serves."""
 
-    def handover_peer_sent(self, event: Event) -> None:
-        """Take in what the other process did."""
+    def apply_peer_event(self, event: Event) -> None:
+        """Apply an event of the other process."""
 
     def socket_counts(self) -> tuple[int, int]:
-        """The sockets to clients and to backends that are open here."""
+        """Return the numbers of open sockets to clients and to backends."""
 
     def set_peer_socket_counts(self, clients: int, backends: int) -> None:
-        """Take in how many sockets the other process has open."""
+        """Set the numbers of the other process's open sockets."""
 
 
 class HandoverConnection(asyncio.Protocol):
-    """The connection between the two processes: lines in and out."""
+    """The connection between the two processes, which sends and receives lines."""
 
     def __init__(
         self,
@@ -101,27 +102,27 @@
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self.transport = transport
 
     def send(self, name: str, **values: object) -> None:
-        """Send a line; a process that reads nothing any more is taken for gone."""
+        """Send a line; abort the connection if the peer leaves more than MAX_UNSENT_BYTES unread."""
         if self.transport.is_closing():
             return
         line = json.dumps({"version": VERSION, "say": name, **values})
         self.transport.write(line.encode() + b"\n")
-        if self.transport.get_write_buffer_size() > UNSENT_LIMIT_BYTES:
+        if self.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
             log.error("handover connection aborted reason=peer-reads-nothing")
             self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Pass on the lines that are complete; a malformed one ends the connection."""
+        """Handle the complete lines; abort the connection on a malformed one."""
         self.buffer += data
-        *lines, rest = self.buffer.split(b"\n")
-        self.buffer = bytearray(rest)
+        *lines, remainder = self.buffer.split(b"\n")
+        self.buffer = bytearray(remainder)
         try:
-            if len(rest) > LINE_LIMIT_BYTES:
-                raise HandoverError("a line is too long")
+            if len(remainder) > MAX_LINE_BYTES:
+                raise HandoverError("a line exceeds the maximum length")
             for line in lines:
                 self.receive(json.loads(line))
         except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as error:
@@ -129,18 +130,18 @@
             self.transport.abort()
 
     def receive(self, values: Mapping[str, Any]) -> None:
-        """Pass on one line; a HandoverError for another version."""
+        """Handle one line. Raises HandoverError if it is of another version."""
         if values["version"] != VERSION:
-            raise HandoverError(f"version {values['version']!r} is not known")
+            raise HandoverError(f"version {values['version']!r} is not supported")
         self.on_line(self, values["say"], values)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Say that the other process is gone."""
+        """Report that the other process is gone."""
         self.on_lost(self)
 
 
 class HandoverPeer:
-    """The other process that is this gateway too, predecessor or successor: one at a time at most."""
+    """The other process of this gateway, a predecessor or a successor; there is at most one at a time."""
 
     def __init__(self, host: HandoverHost, path: Path) -> None:
         self.host = host
@@ -151,41 +152,41 @@
         self.ended = asyncio.Event()
         self.is_retry_requested = False
         self.server: asyncio.Server | None = None
-        self.count_timer: asyncio.TimerHandle | None = None
-        self.handlers: dict[Verb, Callable[[Mapping[str, Any]], None]] = {
-            Verb.NOT_NOW: self.on_not_now,
-            Verb.STATE: self.on_state,
-            Verb.SERVING: self.on_serving,
-            Verb.RELEASED: self.on_released,
-            Verb.SOCKETS: self.on_sockets,
+        self.socket_count_timer: asyncio.TimerHandle | None = None
+        self.handlers: dict[ControlMessage, Callable[[Mapping[str, Any]], None]] = {
+            ControlMessage.NOT_NOW: self.on_not_now,
+            ControlMessage.STATE: self.on_state,
+            ControlMessage.SERVING: self.on_serving,
+            ControlMessage.RELEASED: self.on_released,
+            ControlMessage.SOCKETS: self.on_sockets,
         }
 
-    # --- the new process ---
+    # --- as successor ---
 
     async def take_over(self) -> bool:
-        """Go on from the state of the process that serves; False if there is none, or none that is sound."""
-        for _ in range(RETRY_LIMIT):
+        """Take over the state of the serving process; return False without a process or a valid state."""
+        for _ in range(MAX_TAKE_OVER_ATTEMPTS):
             connection = await self.connect()
             if connection is None:
                 return False
             self.connection = connection
-            connection.send(Verb.TAKE_OVER.value)
-            if await self.comes_in_time(self.resumed):
+            connection.send(ControlMessage.TAKE_OVER.value)
+            if await self.wait_for_event(self.resumed):
                 return True
             connection.transport.abort()
             if not self.is_retry_requested:
                 log.error("handover failed, starting without reason=no-sound-state")
                 return False
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
         return False
 
     async def connect(self) -> HandoverConnection | None:
-        """A connection to the process that serves; None if there is none."""
+        """Return a connection to the serving process, None if there is none."""
         self.is_retry_requested = False
         self.ended.clear()
         try:
             _, connection = await asyncio.get_running_loop().create_unix_connection(
-                self.new_connection, str(self.path)
+                self.create_connection, str(self.path)
             )
         except (FileNotFoundError, ConnectionRefusedError):
             return None
@@ -194,76 +195,78 @@
             return None
         return connection
 
-    def new_connection(self) -> HandoverConnection:
-        """A connection whose lines come here."""
+    def create_connection(self) -> HandoverConnection:
+        """Return a connection whose lines this object handles."""
         return HandoverConnection(self.on_line, self.on_lost)
 
-    async def serve(self) -> None:
-        """Say that clients are served here now; wait until the other process has released the addresses."""
+    async def announce_serving(self) -> None:
+        """Report that this process serves, and wait until the predecessor has released the addresses."""
         if self.connection:
-            self.connection.send(Verb.SERVING.value)
-            if not await self.comes_in_time(self.released):
+            self.connection.send(ControlMessage.SERVING.value)
+            if not await self.wait_for_event(self.released):
                 log.error("handover peer silent expected=released timeout_s=%s", ANSWER_TIMEOUT_S)
 
-    async def comes_in_time(self, wanted: asyncio.Event) -> bool:
-        """Whether the event comes before the time-out and the end of the connection."""
-        waits = [asyncio.ensure_future(event.wait()) for event in (wanted, self.ended)]
+    async def wait_for_event(self, expected: asyncio.Event) -> bool:
+        """Wait for the event; return whether it is set before a timeout or the end of the connection."""
+        waits = [asyncio.ensure_future(event.wait()) for event in (expected, self.ended)]
         await asyncio.wait(waits, timeout=ANSWER_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
         for wait in waits:
             wait.cancel()
-        return wanted.is_set()
+        return expected.is_set()
 
-    # --- the old process ---
+    # --- as predecessor ---
 
-    async def offer(self) -> None:
-        """Listen for a successor; the path is replaced at once, as the old process may still hold it."""
-        fresh = self.path.with_suffix(f".{os.getpid()}")
+    async def listen_for_successor(self) -> None:
+        """Listen for a successor; the path is replaced atomically, as the predecessor may still use it."""
+        temporary_path = self.path.with_suffix(f".{os.getpid()}")
         try:
-            fresh.unlink(missing_ok=True)
-            self.server = await asyncio.get_running_loop().create_unix_server(self.new_connection, str(fresh))
-            fresh.chmod(0o600)
-            fresh.replace(self.path)
+            temporary_path.unlink(missing_ok=True)
+            self.server = await asyncio.get_running_loop().create_unix_server(
+                self.create_connection, str(temporary_path)
+            )
+            temporary_path.chmod(0o600)
+            temporary_path.replace(self.path)
         except OSError as error:
             log.error("handover not offered error=%s", error)
 
     def send_socket_counts(self) -> None:
-        """Say regularly how many sockets are open here: the limit is that of both processes together."""
+        """Send the number of open sockets periodically, as both processes share one limit."""
         if self.connection:
-            self.connection.send(Verb.SOCKETS.value, count=self.host.socket_counts())
+            self.connection.send(ControlMessage.SOCKETS.value, count=self.host.socket_counts())
             loop = asyncio.get_running_loop()
-            self.count_timer = loop.call_later(SOCKET_COUNT_PERIOD_S, self.send_socket_counts)
+            self.socket_count_timer = loop.call_later(SOCKET_COUNT_PERIOD_S, self.send_socket_counts)
 
     # --- both ---
 
     def on_line(self, connection: HandoverConnection, name: str, values: Mapping[str, Any]) -> None:
-        """Take in one line of the other process; a ValueError, KeyError or TypeError if it does not fit."""
-        verb = VERBS.get(name)
-        if verb is Verb.TAKE_OVER:
+        """Handle a line of the other process. Raises ValueError, KeyError or TypeError if it is invalid."""
+        control_message = CONTROL_MESSAGES.get(name)
+        if control_message is ControlMessage.TAKE_OVER:
             self.on_take_over(connection)
         elif connection is not self.connection:
-            raise HandoverError(f"'{name:.20}' comes before '{Verb.TAKE_OVER.value}'")
-        elif verb:
-            self.handlers[verb](values)
+            raise HandoverError(f"'{name:.20}' comes before '{ControlMessage.TAKE_OVER.value}'")
+        elif control_message:
+            self.handlers[control_message](values)
         else:
             optional = values.get(OPTIONAL_FIELDS, {})
             message = from_plain_with_optional(MESSAGE_KINDS[name], values["record"], optional)
-            self.host.handover_peer_sent(message)
+            self.host.apply_peer_event(message)
 
     def on_take_over(self, connection: HandoverConnection) -> None:
-        """A successor asks for the state; only one may at a time."""
+        """Send the state to a successor, or refuse it while there is another handover peer."""
         if self.connection:
-            connection.send(Verb.NOT_NOW.value)
+            connection.send(ControlMessage.NOT_NOW.value)
             return
         self.connection = connection
-        connection.send(Verb.STATE.value, **self.host.handover_state())
+        connection.send(ControlMessage.STATE.value, **self.host.create_handover_state())
 
     def on_not_now(self, _: Mapping[str, Any]) -> None:
-        """The process that serves has a handover peer already."""
+        """Request a retry, as the serving process already has a handover peer."""
         self.is_retry_requested = True
         self.ended.set()
 
     def on_state(self, values: Mapping[str, Any]) -> None:
-        """The predecessor's state."""
+        """Restore the predecessor's state."""
         optional = values.get(OPTIONAL_FIELDS, {})
         state = from_plain_with_optional(GatewaySnapshot, values["state"], optional)
         known = values["known"]
@@ -272,39 +275,39 @@
         self.resumed.set()
 
     def on_serving(self, _: Mapping[str, Any]) -> None:
-        """The successor serves."""
+        """Release the addresses, as the successor serves."""
         self.host.release()
-        self.connection.send(Verb.RELEASED.value)
+        self.connection.send(ControlMessage.RELEASED.value)
         self.send_socket_counts()
 
     def on_released(self, _: Mapping[str, Any]) -> None:
-        """The predecessor has released the addresses."""
+        """Handle that the predecessor has released the addresses."""
         self.released.set()
 
     def on_sockets(self, values: Mapping[str, Any]) -> None:
-        """How many sockets the other process has open."""
+        """Set the numbers of the other process's open sockets."""
         clients, backends = from_plain(tuple[int, ...], values["count"])
         self.host.set_peer_socket_counts(max(0, clients), max(0, backends))
 
     def send(self, message: HandoverMessage) -> None:
-        """Send what the decision core did here, if there is another process."""
+        """Send a message of the decision core, if there is another process."""
         if self.connection:
             self.connection.send(
                 MESSAGE_NAMES[type(message)], record=to_plain(message), **optional_fields(message)
             )
 
     def on_lost(self, connection: HandoverConnection) -> None:
-        """The other process has ended, or its connection was aborted."""
+        """Handle that the other process has exited or its connection was aborted."""
         if connection is self.connection:
             self.connection = None
             self.ended.set()
             self.host.set_peer_socket_counts(0, 0)
-            self.host.handover_peer_sent(HandoverPeerGone())
+            self.host.apply_peer_event(HandoverPeerGone())
 
     def close(self) -> None:
-        """Stop listening, and close the connection."""
-        if self.count_timer:
-            self.count_timer.cancel()
+        """Stop listening and close the connection."""
+        if self.socket_count_timer:
+            self.socket_count_timer.cancel()
         if self.server:
             self.server.close()
         if self.connection:
--- a/orchidhatch/proxy/listening.py
+++ b/orchidhatch/proxy/listening.py
@@ -1,7 +1,7 @@
-"""Sockets that a gateway listens on, opened so that a failure is seen with its errno.
+"""Creates the sockets that a gateway listens on, so that errors keep their errno.
 
-Event loops pass over a socket() call that fails, and then serve on nothing, or report a failed bind without
-its errno; what fails for a moment could not be told from what fails for good.
+Event loops ignore a failed socket() call and then listen on nothing, or report a failed bind without its
+errno. A transient error could then not be distinguished from a permanent one.
 """
 
 import socket
@@ -22,14 +22,14 @@
 
 
 def family_of(address: Address) -> socket.AddressFamily:
-    """The family of an address whose host is an IP address."""
+    """Return the family of an address whose host is an IP address."""
     return socket.AF_INET6 if ":" in address[0] else socket.AF_INET
 
 
 def stream_socket(address: Address) -> socket.socket:
-    """A TCP socket bound to the address; the caller listens. Raises OSError."""
+    """Return a TCP socket bound to the address, not yet listening. Raises OSError if that fails."""
     with closed_on_error(socket.socket(family_of(address), socket.SOCK_STREAM)) as opened:
-        # What a killed predecessor left in TIME_WAIT must not keep a restart from its address.
+        # Lets a restart bind the address while connections of a killed process are in TIME_WAIT.
         opened.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         opened.setblocking(False)
         opened.bind(address)
@@ -37,7 +37,7 @@
 
 
 def datagram_socket(address: Address) -> socket.socket:
-    """A UDP socket bound to the address. Raises OSError."""
+    """Return a UDP socket bound to the address. Raises OSError if that fails."""
     with closed_on_error(socket.socket(family_of(address), socket.SOCK_DGRAM)) as opened:
         opened.setblocking(False)
         opened.bind(address)
--- a/orchidhatch/proxy/main.py
+++ b/orchidhatch/proxy/main.py
@@ -1,4 +1,4 @@
-"""Start of a gateway, its signals and its exit code."""
+"""The command that runs a gateway: start, signals and exit code."""
 
 import asyncio
 import gc
@@ -22,8 +22,11 @@
 START_RETRY_S = 0.2
 
 
-def load_at_start() -> Config:
-    """The configuration; read again where the system fails for a moment. Raises ConfigError."""
+def load_with_retries() -> Config:
+    """Read the configuration, with retries on transient system errors.
+
+    Raises ConfigError if it is unusable.
+    """
     for _ in range(START_ATTEMPTS - 1):
         try:
             return load(os.environ)
@@ -44,13 +47,13 @@
         gateway.process.note_termination()
         stopped.set()
 
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, terminate)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, terminate)
     reload_signal = ReloadSignal(lambda: reload(os.environ), gateway.reload)
-    loop.add_signal_handler(signal.SIGHUP, reload_signal.received)
-    signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})  # one that came meanwhile is handled now
+    loop.add_signal_handler(signal.SIGHUP, reload_signal.handle)
+    signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})  # delivers a SIGHUP received meanwhile
     await gateway.start()
-    # The garbage collector need not traverse what lives as long as the process.
+    # Exempts objects that live as long as the process from garbage collection.
     gc.collect()
     gc.freeze()
     log.info("%s serves at %s:%d", config.name, *config.listen)
@@ -64,7 +67,7 @@
 
 
 def run(config: Config) -> None:
-    """Serve until the process is told to end; the log is written by a thread of its own."""
+    """Serve until the process is terminated; a separate thread writes the log."""
     writer = LogWriter()
     logging.basicConfig(
         handlers=[writer], level=logging.INFO, format="%(asctime)s %(levelname)s %(name)s: %(message)s"
@@ -77,14 +80,14 @@
 
 
 def main() -> int:
-    """Run a gateway, or check its configuration with --check; the exit code."""
+    """Run a gateway, or only check its configuration with --check; return the exit code."""
     try:
-        config = load_at_start()
+        config = load_with_retries()
         if sys.argv[1:] == ["--check"]:
             print(f"orchidhatch: {describe(config)}")
             return 0
         if sys.argv[1:]:
-            raise ConfigError(f"'{sys.argv[1]}' is no option; there is --check")
+            raise ConfigError(f"unknown option '{sys.argv[1]}'; the only option is --check")
         run(config)
     except ConfigError as error:
         print(f"orchidhatch: {error}", file=sys.stderr)
--- a/orchidhatch/proxy/process_handover.py
+++ b/orchidhatch/proxy/process_handover.py
@@ -1,6 +1,6 @@
-"""What one gateway process gives its successor, and what a successor goes on from.
+"""The gateway's side of a handover: the state that a predecessor sends and a successor restores.
 
-The protocol between the two is in `handover`; this is the gateway's side of it.
+The protocol between the two processes is in `handover`.
 """
 
 import asyncio
@@ -22,19 +22,19 @@
 
 log = logging.getLogger(__name__)
 
-# Between attempts to listen at the peers' address.
+# Delay between attempts to bind the address for gossip from peers.
 INITIAL_PEER_BACKOFF_S = 0.02
 MAX_PEER_BACKOFF_S = 1.0
-# The name of the socket in the directory that the two processes share.
+# The name of the Unix socket in the directory that both processes share.
 HANDOVER_SOCKET = "molereach-hand-over.socket"
 
 
 class ProcessHandover:
-    """The process's part in a handover, before (as successor) and after (as predecessor)."""
+    """A process's part in handovers, first as successor and later as predecessor."""
 
     def __init__(
         self,
-        shared: Path | None,
+        shared_directory: Path | None,
         process: ProcessLifecycle,
         dispatcher: EventDispatcher,
         clients: Clients,
@@ -43,7 +43,10 @@
         apply_endpoints: Callable[[EndpointUpdate], None],
         stop_listening: Callable[[], None],
     ) -> None:
-        """`shared` is the directory of the two processes, None for a process that takes part in none."""
+        """Create the handover part of a process.
+
+        `shared_directory` is the directory of the handover socket, None to disable handover.
+        """
         self.process = process
         self.dispatcher = dispatcher
         self.clients = clients
@@ -51,54 +54,54 @@
         self.catalog = catalog
         self.apply_endpoints = apply_endpoints
         self.stop_listening = stop_listening
-        self.peer = HandoverPeer(self, shared / HANDOVER_SOCKET) if shared else None
+        self.peer = HandoverPeer(self, shared_directory / HANDOVER_SOCKET) if shared_directory else None
 
     # --- as successor ---
 
     async def take_over(self) -> bool:
-        """Go on from the state of the process that serves; whether there was one with sound state."""
+        """Take over the state of the serving process; return whether there was one with a valid state."""
         has_state = await self.peer.take_over()
         if has_state:
-            log.info("goes on from the process that served so far")
+            log.info("handover state received from the predecessor")
         else:
-            self.dispatcher.post(HandoverPeerUnknown())  # until the peers' address is free
+            self.dispatcher.post(HandoverPeerUnknown())  # until the gossip address is free
         return has_state
 
     async def begin_serving(self, has_state: bool, open_peers: Callable[[], Any]) -> None:
-        """Tell the predecessor that clients are served here, and listen for a successor."""
-        await self.peer.serve()
+        """Tell the predecessor that this process serves clients, and listen for a successor."""
+        await self.peer.announce_serving()
         self.backends.spawn(self._open_peers_when_free(has_state, open_peers))
-        await self.peer.offer()
+        await self.peer.listen_for_successor()
 
     async def _open_peers_when_free(self, has_state: bool, open_peers: Callable[[], Any]) -> None:
-        """Listen for peers once the predecessor has released the address, or has ended."""
+        """Listen for gossip once the predecessor has released the address or exited."""
         backoff_s = INITIAL_PEER_BACKOFF_S
         while True:
             try:
                 await open_peers()
                 break
             except OSError as error:
-                log.warning("cannot listen for peers yet: %s", error)
+                log.warning("cannot listen for peers, retrying: %s", error)
             await asyncio.sleep(backoff_s)
             backoff_s = min(MAX_PEER_BACKOFF_S, 2 * backoff_s)
         if not has_state:
             self.dispatcher.post(HandoverPeerGone())
 
     def resume(self, state: GatewaySnapshot, known: Mapping[str, Any]) -> None:
-        """Restore the predecessor's state; its endpoint list holds unless this one's is as new."""
+        """Restore the predecessor's state, and its endpoint list if it is newer than this process's own."""
         self.catalog.adopt_starts(known, {server.name: server.started_us for server in state.servers})
         newest = known if known["generation"] > self.catalog.version else self.catalog.snapshot()
         self.apply_endpoints(self.catalog.read(newest, EndpointListKind.FULL))
         self.dispatcher.run_batch()
         self.dispatcher.post(state)
         self.dispatcher.run_batch()
-        for word in state.ejections:
-            self.backends.ban(word.server, word.is_ejected)
+        for ejection in state.ejections:
+            self.backends.ban(ejection.server, ejection.is_ejected)
 
     # --- as predecessor ---
 
-    def handover_state(self) -> dict[str, Any]:
-        """The snapshot that a successor goes on from."""
+    def create_handover_state(self) -> dict[str, Any]:
+        """Return the fields of the state message for a successor."""
         state = self.dispatcher.ask(StartHandover())
         return {
             "state": to_plain(state),
@@ -108,8 +111,8 @@
         }
 
     def release(self) -> None:
-        """Stop accepting, release the addresses and close idle connections: a successor serves."""
-        log.info("another process serves from now on")
+        """Stop accepting, release the addresses and close idle connections, as a successor serves."""
+        log.info("handover complete, a successor serves")
         self.process.enter(ProcessState.REPLACED)
         self.stop_listening()
         self.clients.drain()
@@ -118,26 +121,26 @@
     # --- both ---
 
     def socket_counts(self) -> tuple[int, int]:
-        """How many sockets are held here: to clients, and to backends."""
+        """Return the numbers of open sockets to clients and to backends."""
         return len(self.clients.connections), self.backends.held
 
     def set_peer_socket_counts(self, clients: int, backends: int) -> None:
-        """Count the other process's sockets against the limits of both."""
+        """Count the other process's sockets toward the limits that both processes share."""
         self.clients.handover_peer_connections = clients
         self.backends.others = backends
 
-    def handover_peer_sent(self, event: Event) -> None:
-        """Apply what the other process did; an operator's change to a backend holds here too."""
+    def apply_peer_event(self, event: Event) -> None:
+        """Apply an event of the other process, including an operator's ejection of a backend."""
         self.dispatcher.post(event)
         if isinstance(event, HandoverEjection):
             self.backends.ban(event.server, event.is_ejected)
 
     def send_to_handover_peer(self, action: HandoverMessage) -> None:
-        """Send the other process what the decision core did, if there is one."""
+        """Send a message of the decision core to the other process, if there is one."""
         if self.peer:
             self.peer.send(action)
 
     def close(self) -> None:
-        """End the connection to the other process and stop listening for a successor."""
+        """Close the connection to the other process and stop listening for a successor."""
         if self.peer:
             self.peer.close()
--- a/orchidhatch/proxy/process_limits.py
+++ b/orchidhatch/proxy/process_limits.py
@@ -1,34 +1,37 @@
-"""The limits of this process that follow from its configuration and the system."""
+"""Limits of this process derived from its configuration and the operating system."""
 
 import logging
 from dataclasses import replace
 
 from orchidhatch.gateway.settings import Settings
 from orchidhatch.proxy.config import Config
-from orchidhatch.proxy.process_resources import allow_descriptors
+from orchidhatch.proxy.process_resources import raise_descriptor_limit
 from orchidhatch.proxy.send_backlog import PROGRAM_MEMORY_MB
 
 log = logging.getLogger(__name__)
 
-# Of the memory above the program's, one part in so many is for commands that are not answered yet.
+# Unanswered commands may use one part in this many of the memory above PROGRAM_MEMORY_MB.
 COMMAND_MEMORY_DIVISOR = 6
 MIN_COMMAND_BYTES = 1 << 20
 
 
-def allowed_descriptors(config: Config) -> int:
-    """How many descriptors this process may hold; logs an error if these are fewer than configured."""
-    allowed = allow_descriptors(config.sockets)
+def apply_descriptor_limit(config: Config) -> int:
+    """Raise the descriptor limit as configured; return how many descriptors the process may hold.
+
+    Logs an error if these are fewer than configured.
+    """
+    allowed = raise_descriptor_limit(config.sockets)
     if allowed < config.sockets:
         log.error(
-            "the system allows this process %d descriptors, not the %d of limits.sockets",
+            "the system allows this process %d descriptors, fewer than limits.sockets=%d",
             allowed,
             config.sockets,
         )
     return allowed
 
 
-def limited_settings(config: Config) -> Settings:
-    """The decision core's settings with the bounds on open requests and on their bytes."""
+def create_core_settings(config: Config) -> Settings:
+    """Return the decision core's settings with the limits on open requests and on their bytes."""
     spare_bytes = (config.memory_mb - PROGRAM_MEMORY_MB) * (1 << 20)
     max_open_bytes = max(MIN_COMMAND_BYTES, spare_bytes // COMMAND_MEMORY_DIVISOR)
     return replace(config.settings, max_open_requests=config.max_open, max_open_bytes=max_open_bytes)
--- a/orchidhatch/proxy/process_resources.py
+++ b/orchidhatch/proxy/process_resources.py
@@ -1,4 +1,4 @@
-"""Memory and descriptors of this process, as the system tells them."""
+"""Memory and descriptors of this process, as reported by the operating system."""
 
 import os
 import resource
@@ -7,7 +7,7 @@
 
 
 def resident_bytes() -> int | None:
-    """Return the memory that the process holds now; None where the system does not say."""
+    """Return the resident memory of the process, None if the system does not report it."""
     try:
         with open("/proc/self/statm", "rb") as file:
             resident_pages = int(file.read().split()[1])
@@ -17,12 +17,12 @@
 
 
 def peak_resident_bytes() -> int:
-    """Return the most memory that the process has held."""
+    """Return the peak resident memory of the process."""
     return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * BYTES_PER_KB
 
 
-def allow_descriptors(wanted: int) -> int:
-    """Raise the process's soft limit on descriptors if need be; return how many of `wanted` it may hold."""
+def raise_descriptor_limit(wanted: int) -> int:
+    """Raise the soft limit on descriptors if needed; return how many of `wanted` the process may hold."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft == resource.RLIM_INFINITY or wanted <= soft:
         return wanted
@@ -35,9 +35,9 @@
 
 
 def open_descriptors() -> int | None:
-    """Return how many descriptors the process holds; None where none is left to look with."""
+    """Return how many descriptors the process holds, None if no descriptor is left to list them."""
     try:
         listed = os.listdir("/proc/self/fd")
     except OSError:
         return None
-    return len(listed) - 1  # one of them is for the listing itself
+    return len(listed) - 1  # one of them is of the listing itself
--- a/orchidhatch/proxy/server.py
+++ b/orchidhatch/proxy/server.py
@@ -1,6 +1,6 @@
-"""The gateway on sockets: creates its components, connects them, and starts and closes them.
+"""The gateway server: creates, connects, starts and closes the components of one gateway process.
 
-The way of one request: `clients` reads a command, `request_lifecycle` posts it as an event,
+The path of a request: `clients` reads a command, `request_lifecycle` posts it as an event,
 `event_dispatcher` hands the event to the decision core and the core's actions to the handlers in
 `GatewayServer.action_handlers`, `backends` sends the attempts, and `request_lifecycle` answers.
 """
@@ -52,7 +52,7 @@
 from orchidhatch.proxy.policy_guard import PolicyGuard
 from orchidhatch.proxy.process_handover import ProcessHandover
 from orchidhatch.proxy.process_lifecycle import ProcessLifecycle, ProcessState
-from orchidhatch.proxy.process_limits import allowed_descriptors, limited_settings
+from orchidhatch.proxy.process_limits import apply_descriptor_limit, create_core_settings
 from orchidhatch.proxy.request_lifecycle import RequestLifecycle
 from orchidhatch.proxy.work_queues import WorkQueues
 
@@ -60,14 +60,14 @@
 
 Opened = TypeVar("Opened")
 
-# How long the start waits for an endpoint list; less where one is known, as in a release many gateways start
-# and discovery may be silent long.
-FIRST_LIST_S = 0.3
-NEWER_LIST_S = 0.05
+# How long the start waits for an endpoint list. The wait is shorter if a saved list is known: many gateways
+# start during a release, and discovery may not answer for long.
+FIRST_LIST_TIMEOUT_S = 0.3
+NEWER_LIST_TIMEOUT_S = 0.05
 LISTEN_BACKLOG = 1024
-# How long the start tries to open its sockets.
-OPEN_WITHIN_S = 2.0
-# Of the sockets beyond the spare ones.
+# How long the start retries to open a socket.
+OPEN_TIMEOUT_S = 2.0
+# The clients' share of the sockets that remain without SPARE_SOCKETS.
 CLIENT_SOCKET_SHARE = 0.6
 
 
@@ -79,8 +79,8 @@
         self.server: asyncio.Server | None = None
         self.active = ActiveConfiguration(config)
         self.account = CpuAccounting(config.settings.seed)
-        self.max_descriptors = allowed_descriptors(config)
-        self.core = GatewayCore(limited_settings(config))
+        self.max_descriptors = apply_descriptor_limit(config)
+        self.core = GatewayCore(create_core_settings(config))
         self.dispatcher = EventDispatcher(self.core, self.account)
         self.figures = RequestMetrics(config.class_numbers)
         self.guard = Guard()
@@ -121,11 +121,11 @@
 
     def _create_endpoint_watch(self, config: Config) -> None:
         self.catalog = EndpointListReader(config)
-        known = self._apply_known_endpoints(config)
+        known_update = self._apply_known_endpoints(config)
         self.discovery = EndpointWatcher(
             config.discovery,
             self.catalog,
-            known.event.version if known else 0,
+            known_update.event.version if known_update else 0,
             self.apply_endpoints,
             config.settings.seed,
             config.settings.gateway_count,
@@ -141,7 +141,7 @@
             config.policy, self.discovery.last_sign_of_life_s, self.operator_drain.suspend_admission
         )
         self.handover = ProcessHandover(
-            config.shared if config.socket_fd is not None else None,
+            config.shared_directory if config.socket_fd is not None else None,
             self.process,
             self.dispatcher,
             self.clients,
@@ -155,7 +155,7 @@
         )
 
     def _create_operations(self, config: Config, writer: LogWriter | None) -> None:
-        # The management server and the metrics page refer to each other, so its calls are set last.
+        # The management server and the metrics page refer to each other, so the server's calls are set last.
         self.management = Management(Calls({}), self.account)
         self.queues = WorkQueues(
             self.clients,
@@ -196,7 +196,7 @@
         )
 
     def action_handlers(self) -> ActionHandlers:
-        """What carries out each type of action of the decision core, and where its CPU time is counted."""
+        """Return the handler of each action type of the decision core, with its CPU cost category."""
         requests = self.requests
         send_to_handover_peer = (CostCategory.PEERS, self.handover.send_to_handover_peer)
         return {
@@ -223,64 +223,65 @@
     # --- the endpoint list ---
 
     def _apply_known_endpoints(self, config: Config) -> EndpointUpdate | None:
-        if not config.known:
+        if not config.known_endpoint_list:
             return None
         try:
-            update = self.catalog.read(config.known, EndpointListKind.SAVED)
+            update = self.catalog.read(config.known_endpoint_list, EndpointListKind.SAVED)
         except (KeyError, TypeError, ValueError) as error:
-            log.error("known endpoint list malformed: error=%s", error)
+            log.error("saved endpoint list malformed: error=%s", error)
             return None
         self.apply_endpoints(update)
         return update
 
     def apply_endpoints(self, update: EndpointUpdate) -> None:
-        """Give a watch event to the decision core and to the connection pools."""
-        is_whole = update.event.kind is not EndpointListKind.CHANGES
+        """Pass an endpoint list update to the decision core and to the connection pools."""
+        is_full_list = update.event.kind is not EndpointListKind.CHANGES
         states = {server.name: server.state for server in update.event.endpoints}
-        # Before the ends of what waited at removed backends, which may be sent elsewhere.
+        # Posted first: attempts that wait at removed backends end in `update`, and their retries need the new
+        # list.
         self.dispatcher.post(update.event)
-        self.backends.update(states, update.addresses, is_whole)
+        self.backends.update(states, update.addresses, is_full_list)
 
-    # --- start and end ---
+    # --- start and close ---
 
     async def start(self) -> None:
-        """Serve; returns once clients are answered. Raises OSError for an address that cannot be had."""
+        """Start to serve; return once clients are accepted. Raises OSError if an address cannot be bound."""
         config = self.active.config
         self.loop_watch.start()
         self.policy_guard.begin(is_suspended=True)
         if config.management:
             host, port = config.management
-            await open_at_start(lambda: self.management.start(host, port))
+            await open_with_retries(lambda: self.management.start(host, port))
         self.periodic_log.schedule()
         if not self.handover.peer:
-            await open_at_start(self._open_peers)
+            await open_with_retries(self._open_peers)
         self.backends.spawn(self.discovery.run(), CostCategory.DISCOVERY)
         await self._wait_for_endpoints()
         if self.handover.peer:
             await self._serve_inherited(config.socket_fd)
         else:
-            self.server = await open_at_start(lambda: self._listen(config.listen))
+            self.server = await open_with_retries(lambda: self._listen(config.listen))
         self.process.enter(ProcessState.SERVING)
 
     async def _wait_for_endpoints(self) -> None:
-        """Wait a short time for a list that is newer than the known one, or for any if none is known."""
+        """Wait briefly for an endpoint list: one newer than the saved list, or any if none is saved."""
         is_known = bool(self.catalog.entries)
         received = self.discovery.has_accepted_watch if is_known else self.discovery.has_update
-        timeout_s = NEWER_LIST_S if is_known else FIRST_LIST_S
+        timeout_s = NEWER_LIST_TIMEOUT_S if is_known else FIRST_LIST_TIMEOUT_S
         try:
             await asyncio.wait_for(received.wait(), timeout_s)
         except TimeoutError:
-            log.warning("discovery is silent; starting with the known list")
+            log.warning("no endpoint list from discovery in time; starting with the saved list")
 
     async def _listen(self, address: Address) -> asyncio.Server:
-        """Accept clients at the address. Raises OSError."""
+        """Accept clients at the address. Raises OSError if it cannot be bound."""
         with closed_on_error(stream_socket(address)) as listening:
             return await self.loop.create_server(
                 self.clients.create_connection, sock=listening, backlog=LISTEN_BACKLOG
             )
 
     async def _serve_inherited(self, descriptor: int) -> None:
-        """Serve on the inherited socket, from the state of the process that serves there, if there is one."""
+        """Serve on the inherited socket, with the predecessor's state if a predecessor is serving."""
         has_state = await self.handover.take_over()
         listening = socket.socket(fileno=descriptor)
         listening.setblocking(False)
@@ -300,11 +301,11 @@
         self.peers.close()
 
     def reload(self, config: Config) -> None:
-        """Apply what may change while the gateway serves."""
+        """Apply the parts of the configuration that may change while the gateway serves."""
         self.reloader.reload(config)
 
     async def drain(self) -> None:
-        """Answer everything that is in flight, then close."""
+        """Answer all requests in flight, then close."""
         await self.process.drain(self.close)
 
     def close(self) -> None:
@@ -321,19 +322,22 @@
         self.backends.close()
 
 
-async def open_at_start(open_socket: Callable[[], Awaitable[Opened]]) -> Opened:
-    """Open a socket that the start needs, again where the system fails for a moment. Raises OSError."""
+async def open_with_retries(open_socket: Callable[[], Awaitable[Opened]]) -> Opened:
+    """Open a socket, with retries on transient system errors.
+
+    Raises OSError if it cannot be opened within OPEN_TIMEOUT_S.
+    """
     last_errors: list[OSError] = []
 
     def note_failure(error: OSError) -> None:
         last_errors[:] = [error]
-        log.warning("cannot open a socket yet error=%s: %s", error_name(error), error)
+        log.warning("socket not opened, retrying: error=%s: %s", error_name(error), error)
 
     try:
-        async with asyncio.timeout(OPEN_WITHIN_S):
+        async with asyncio.timeout(OPEN_TIMEOUT_S):
             return await retry_local(open_socket, asyncio.sleep, note_failure)
     except TimeoutError:
-        raise (last_errors or [OSError("no socket in time")])[0] from None
+        raise (last_errors or [OSError("timed out opening a socket")])[0] from None
 
 
 def log_core_line(action: LogLine) -> None:
@@ -342,4 +346,4 @@
 
 
 def ignore_action(action: Action) -> None:
-    """Do nothing: the watch is always on."""
+    """Ignore an action on the endpoint list subscription, as the watch is always open."""
--- a/tests/proxy/test_endpoint_watch.py
+++ b/tests/proxy/test_endpoint_watch.py
@@ -287,7 +287,9 @@
 
 async def test_known_list_serves_while_discovery_is_silent() -> None:
     known = {"generation": 3, "reset": True, "instances": [entry("s1", AT)]}
-    gateway = GatewayServer(replace(CONFIG, known=known, discovery=await Watch(script()).start()))
+    gateway = GatewayServer(
+        replace(CONFIG, known_endpoint_list=known, discovery=await Watch(script()).start())
+    )
     received: list[Event] = []
     gateway.core.handle = lambda now, event: received.append(event) or []
     await gateway.start()
--- a/tests/proxy/test_graceful_drain.py
+++ b/tests/proxy/test_graceful_drain.py
@@ -31,8 +31,8 @@
 @pytest.fixture
 def at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """A drain that waits for nothing but events."""
-    monkeypatch.setattr(process_lifecycle, "SETTLE_S", 0.0)
-    monkeypatch.setattr(process_lifecycle, "DRAIN_LOOK_S", 0.001)
+    monkeypatch.setattr(process_lifecycle, "LATE_CONNECTIONS_S", 0.0)
+    monkeypatch.setattr(process_lifecycle, "DRAIN_POLL_INTERVAL_S", 0.001)
 
 
 @pytest.mark.usefixtures("at_once")
@@ -78,7 +78,7 @@
         while len(backend.commands) < 2:
             await asyncio.sleep(0)
         left_us = gateway.requests.open["c1"].deadline_us - gateway.requests.open["c1"].arrived_us
-        assert left_us <= process_lifecycle.MOST_DEADLINE_US + process_lifecycle.KILL_AFTER_US
+        assert left_us <= process_lifecycle.MAX_DEADLINE_US + process_lifecycle.KILL_GRACE_US
         assert "a2" not in gateway.requests.open
         for writer in backend.writers:
             writer.write(value(b"at last"))
--- a/tests/proxy/test_handover.py
+++ b/tests/proxy/test_handover.py
@@ -149,7 +149,7 @@
                 discovery=await Watch(script).start(),
                 listen=held.getsockname(),
                 socket_fd=held.fileno(),
-                shared=tmp_path,
+                shared_directory=tmp_path,
             ),
             started,
         )
@@ -197,7 +197,7 @@
 
 
 def test_replaced_process_ends_by_itself(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(process_lifecycle, "REPLACED_STAY_S", 0.01)
+    monkeypatch.setattr(process_lifecycle, "REPLACED_EXIT_DELAY_S", 0.01)
 
     async def job() -> None:
         async with gateway_count(Backend(), tmp_path) as (config, started):
@@ -292,14 +292,14 @@
         self.world = world
         self.received: list[object] = []
 
-    def handover_state(self) -> dict[str, object]:
+    def create_handover_state(self) -> dict[str, object]:
         [state] = of(GatewaySnapshot, self.world.tell(StartHandover()))
         return {"state": to_plain(state), "known": {}, "count": [0, 0], **handover.optional_fields(state)}
 
     def resume(self, state: GatewaySnapshot, _: object) -> None:
         self.received.append(state)
 
-    def handover_peer_sent(self, event: object) -> None:
+    def apply_peer_event(self, event: object) -> None:
         self.received.append(event)
 
     def set_peer_socket_counts(self, *_: int) -> None:
@@ -315,7 +315,7 @@
         path = tmp_path / process_handover.HANDOVER_SOCKET
         old = handover.HandoverPeer(RecordingHost(pair.member), path)
         new = handover.HandoverPeer(RecordingHost(World()), path)
-        await old.offer()
+        await old.listen_for_successor()
         assert await new.take_over()
         old.send(spend)
         while len(new.host.received) < 2:
--- a/tests/proxy/test_leaving_backends.py
+++ b/tests/proxy/test_leaving_backends.py
@@ -30,7 +30,7 @@
     "not in the whole list": lambda gateway, backend: gateway.apply_endpoints(
         gateway.catalog.read(json.loads(catalog(gateway.catalog.version + 1, [])))
     ),
-    "left out at the other process": lambda gateway, backend: gateway.handover.handover_peer_sent(
+    "left out at the other process": lambda gateway, backend: gateway.handover.apply_peer_event(
         HandoverEjection("s0", True)
     ),
 }
--- a/tests/proxy/test_local_failures.py
+++ b/tests/proxy/test_local_failures.py
@@ -169,18 +169,18 @@
         return "open"
 
     with caplog.at_level(logging.WARNING):
-        assert await server.open_at_start(open_socket) == "open"
+        assert await server.open_with_retries(open_socket) == "open"
     assert sum("ENOBUFS" in record.getMessage() for record in caplog.records) == 3
 
 
 async def test_start_without_sockets_reports_why(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server, "OPEN_WITHIN_S", 0.02)
+    monkeypatch.setattr(server, "OPEN_TIMEOUT_S", 0.02)
 
     async def open_socket() -> None:
         raise OSError(errno.ENOBUFS, "injected")
 
     with pytest.raises(OSError, match="injected"):
-        await server.open_at_start(open_socket)
+        await server.open_with_retries(open_socket)
 
 
 async def test_unreadable_configuration_is_read_again_soon(
@@ -199,7 +199,7 @@
         return CONFIG
 
     signal = reload_signal.ReloadSignal(read, lambda config: applied.set())
-    signal.received()
+    signal.handle()
     assert not applied.is_set()
     await applied.wait()
 
@@ -217,7 +217,7 @@
         reads += 1
         raise ConfigError("makes no sense")
 
-    reload_signal.ReloadSignal(read, lambda config: None).received()
+    reload_signal.ReloadSignal(read, lambda config: None).handle()
     while f"after {reload_signal.MAX_ATTEMPTS} attempts" not in caplog.text:
         await asyncio.sleep(0.001)
     assert reads == reload_signal.MAX_ATTEMPTS
--- a/tests/proxy/test_server.py
+++ b/tests/proxy/test_server.py
@@ -230,8 +230,8 @@
 
 
 async def test_drain_waits_for_a_late_request(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(process_lifecycle, "SETTLE_S", 0.0)
-    monkeypatch.setattr(process_lifecycle, "DRAIN_LOOK_S", 0.1)
+    monkeypatch.setattr(process_lifecycle, "LATE_CONNECTIONS_S", 0.0)
+    monkeypatch.setattr(process_lifecycle, "DRAIN_POLL_INTERVAL_S", 0.1)
 
     backend = Backend(lambda arguments: None)
     async with front_door(backend) as (gateway, address):
@@ -296,4 +296,4 @@
         for number in range(8):
             assert await client.ask(query(f"a{number}")) == b"ok"
         assert len(backend.commands) == 8 and list(gateway.backends.pools) == ["s3"]
-        assert caplog.text.count("is no IPv4 address") + caplog.text.count("is not an address") == 3
+        assert caplog.text.count("is not an IPv4 address") + caplog.text.count("is not an address") == 3
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -56,7 +56,7 @@
     max_open=100,
     sockets=256,
     memory_mb=64,
-    known={},
+    known_endpoint_list={},
 )
 
 
