--- a/orchidhatch/control/controller/shards.py
+++ b/orchidhatch/control/controller/shards.py
@@ -126,13 +126,13 @@
         if claim.suspended:
             return
         # By the registry's state and not by the owned shards, as the reply to a release may have been lost.
-        is_held_here = bool(claim.holder) and claim.incarnation == self._session.incarnation
-        if is_held_here and owner != self._session.holder:
+        is_own_claim = bool(claim.holder) and claim.incarnation == self._session.incarnation
+        if is_own_claim and owner != self._session.holder:
             await self.release(claim.name, claim.epoch)
         elif (
             owner == self._session.holder
             and claim.name not in self._owned
-            and (is_held_here or not claim.holder)
+            and (is_own_claim or not claim.holder)
         ):
             await self._take(claim.name)
 
--- a/orchidhatch/control/controller/task_records.py
+++ b/orchidhatch/control/controller/task_records.py
@@ -38,8 +38,8 @@
 class DrainState(StrEnum):
     """The progress of a drain.
 
-    MARKED: the endpoint is DRAINING in the endpoint list. WITHDRAWN: the gateways were told to send it no new
-    requests. UNLISTED: the endpoint was removed from the endpoint list by other means.
+    MARKED: the endpoint is DRAINING in the endpoint list. WITHDRAWN: the gateways got the command to send it
+    no new requests. UNLISTED: the endpoint was removed from the endpoint list by other means.
     """
 
     REQUESTED = "asked"
