--- a/orchidhatch/control/registry/backup_handlers.py
+++ b/orchidhatch/control/registry/backup_handlers.py
@@ -1,4 +1,4 @@
-"""The requests for backups of a registry's store."""
+"""Request handlers for backups of a registry's store."""
 
 import logging
 from collections.abc import Awaitable, Callable, Coroutine
@@ -14,21 +14,21 @@
 
 log = logging.getLogger("orchidhatch.registry")
 
-RunInTurn = Callable[[Callable[[], None]], Awaitable[None]]
+RunSerialized = Callable[[Callable[[], None]], Awaitable[None]]
 StartTask = Callable[[Coroutine[None, None, None]], None]
 
 
 class BackupHandlers:
-    """Requests for backups of the store. `backups` is None where no folder was given."""
+    """The request handlers for backups. `backups` is None if no folder is configured."""
 
-    def __init__(self, store: Store, run_in_turn: RunInTurn, start_task: StartTask) -> None:
+    def __init__(self, store: Store, run_serialized: RunSerialized, start_task: StartTask) -> None:
         self.backups: Backups | None = None
         self._store = store
-        self._run_in_turn = run_in_turn
+        self._run_serialized = run_serialized
         self._start_task = start_task
 
     def add_routes(self, router: Router) -> None:
-        """Add all routes of these handlers."""
+        """Register the routes of these handlers."""
         router.add("POST", "/backup", self._back_up)
 
     def _back_up(self, request: Request) -> None:
@@ -46,22 +46,22 @@
             connection.answer(Response(200, summary))
 
     async def _create_backup(self, fence: Fence | None) -> BackupSummary:
-        """A summary of the backup. Raises ConflictError or StoreError."""
+        """Create a backup and return its summary. Raises ConflictError or StoreError."""
         backups = self.backups
         if backups is None:
-            raise ConflictError("it was given no folder for backups")
+            raise ConflictError("no folder for backups is configured; start the registry with --backups")
         summaries: list[BackupSummary] = []
 
         def check_and_copy() -> None:
-            """Check and copy in one turn, as no write may come between them."""
+            """Check the fence and copy the store without a write in between."""
             check_fence(self._store, fence)
             summaries.append(backups.create(self._store))
 
-        await self._run_in_turn(check_and_copy)
+        await self._run_serialized(check_and_copy)
         return summaries[0]
 
     def metrics(self) -> dict[str, float]:
-        """Metrics by name, without the registry's prefix."""
+        """Return the metrics by name, without the registry's prefix."""
         if self.backups is None:
             return {}
         return {"backups_total": self.backups.completed, "backups_failed_total": self.backups.failed}
--- a/orchidhatch/control/registry/backups.py
+++ b/orchidhatch/control/registry/backups.py
@@ -1,8 +1,8 @@
-"""Backups of a registry's store: made while it serves, verified before they count, kept by count and age.
+"""Backups of a registry's store: taken while it serves, verified, and limited in number and age.
 
-A backup is made between two batches of writes, so it is the endpoint list as of one generation. It counts
-only once a store was opened from it, with everything in it compared to its checksums; until then it has
-another name.
+A backup is taken between two batches of writes, so it has the endpoint list of a single generation. It is
+verified by opening a store from it, which compares everything with its checksums. Until then the file has a
+temporary name and is not regarded as a backup.
 """
 
 import re
@@ -17,14 +17,14 @@
 from orchidhatch.control.registry.store import Store
 
 MAX_BACKUPS = 24
-MAX_BACKUP_AGE_S = 7 * 24 * 3600.0  # the newest is kept in any case
+MAX_BACKUP_AGE_S = 7 * 24 * 3600.0  # the newest backup is always kept
 UNVERIFIED_NAME = "list.db.new"
 BACKUP_NAME = re.compile(r"list-(?P<term>\d{1,16})-(?P<generation>\d{1,20})\.db")
-SQLITE_SUFFIXES = ("", "-wal", "-shm")  # of a database, its log and the log's index
+SQLITE_SUFFIXES = ("", "-wal", "-shm")  # the database, its write-ahead log and the log's index
 
 
 class BackupSummary(msgspec.Struct, frozen=True):
-    """The name of a backup's file and what it holds; field names are on the wire."""
+    """The file name and the contents of a backup; the field names are on the wire."""
 
     file: str
     term: int
@@ -37,8 +37,8 @@
 class Backups:
     """The backups in one folder.
 
-    `wall_clock_s` is the wall clock in seconds, as ages must go on over a restart. `completed` and `failed`
-    count backups since the start.
+    `wall_clock_s` returns the wall-clock time in seconds, as ages must survive a restart. `completed` and
+    `failed` count backups since the start.
     """
 
     def __init__(
@@ -56,9 +56,9 @@
         self.failed = 0
 
     def create(self, store: Store) -> BackupSummary:
-        """Make and verify a backup, then delete those that are too old or too many.
+        """Create and verify a backup, then delete backups that are too old or exceed the maximum number.
 
-        This waits for the disk; nobody else may write to the store meanwhile. Raises StoreError.
+        Blocks on the disk; the store must not be written to meanwhile. Raises StoreError.
         """
         try:
             summary = self._create_verified(store)
@@ -73,10 +73,10 @@
         return summary
 
     def list_files(self) -> list[Path]:
-        """The backups, the oldest first by term and generation."""
+        """Return the backup files in order of term and generation, oldest first."""
         matches = [BACKUP_NAME.fullmatch(path.name) for path in self.folder.glob("list-*.db")]
-        found = [(int(match["term"]), int(match["generation"]), match[0]) for match in matches if match]
-        return [self.folder / name for _, _, name in sorted(found)]
+        versions = [(int(match["term"]), int(match["generation"]), match[0]) for match in matches if match]
+        return [self.folder / name for _, _, name in sorted(versions)]
 
     def _create_verified(self, store: Store) -> BackupSummary:
         self.folder.mkdir(parents=True, exist_ok=True)
@@ -95,13 +95,13 @@
 
 
 def delete_database(path: Path) -> None:
-    """Delete a SQLite database with its log, as far as they exist."""
+    """Delete the files of a SQLite database, including its log, if they exist."""
     for suffix in SQLITE_SUFFIXES:
         Path(f"{path}{suffix}").unlink(missing_ok=True)
 
 
 def copy_store(store: Store, target: Path) -> None:
-    """Copy an open store's database to a file, in place of an interrupted copy. Raises sqlite3.Error."""
+    """Copy an open store's database to a file, replacing an interrupted copy. Raises sqlite3.Error."""
     delete_database(target)
     database = sqlite3.connect(target)
     try:
@@ -111,9 +111,9 @@
 
 
 def verify_backup(path: Path) -> BackupSummary:
-    """Open a store from this file, which compares its checksums, and summarize it under its final name.
+    """Verify a backup by opening a store from it, and return its summary with its final file name.
 
-    The store is closed again, so that its log is written back to the file. Raises StoreError.
+    The store is closed again, so that its write-ahead log is checkpointed. Raises StoreError.
     """
     store = Store(path)
     try:
--- a/orchidhatch/control/registry/batch.py
+++ b/orchidhatch/control/registry/batch.py
@@ -1,4 +1,4 @@
-"""Batches of writes: what a number of writes comes to, before any of it is durable."""
+"""Batches of writes: the result of several writes, computed before any of them is durable."""
 
 from collections.abc import Iterable, Mapping
 
@@ -14,7 +14,7 @@
     RemoveEndpoint,
     endpoint_digest,
     next_endpoint,
-    target_of,
+    target_id,
 )
 
 Write = EndpointWrite | ClaimsWrite
@@ -22,10 +22,10 @@
 
 
 class Batch:
-    """What a batch of writes comes to: an outcome for each, in order.
+    """The result of a batch of writes, with an outcome for each, in order.
 
-    `generation` and `endpoints_sum` are those of the endpoint list after it; `claims` is the transaction of
-    the claims table.
+    `generation` and `endpoints_sum` are those of the endpoint list after the batch; `claims` is the
+    transaction of the claims table.
     """
 
     def __init__(
@@ -39,10 +39,10 @@
 
 
 class BatchPlan:
-    """The endpoint list and the claims table as the writes of a batch leave them, one after another.
+    """The state of the endpoint list and the claims table while the writes of a batch are applied in turn.
 
-    What it is made from stays as it is: the generation of the endpoint list, the sum of its digests, its
-    endpoints and a new transaction of the claims table.
+    It is created from the generation of the endpoint list, the sum of its digests, its endpoints and a new
+    transaction of the claims table. It changes neither the list nor the table.
     """
 
     def __init__(
@@ -60,19 +60,19 @@
         self._changed: dict[str, Endpoint] = {}
 
     def plan(self, writes: Iterable[Write]) -> Batch:
-        """Add all writes of the batch; what they come to."""
+        """Apply all writes and return the batch."""
         outcomes = [self._add(write) for write in writes]
         return Batch(outcomes, self._generation, self._endpoints_sum, self._claims)
 
     def _add(self, write: Write) -> Outcome:
-        """The outcome of one more write; a ConflictError is one too."""
+        """Apply one more write and return its outcome; a ConflictError is returned, not raised."""
         try:
             return self._claims.write(write) if isinstance(write, ClaimsWrite) else self._add_to_list(write)
         except ConflictError as conflict:
             return conflict
 
     def _add_to_list(self, write: EndpointWrite) -> Endpoint:
-        known = self._find(target_of(write))
+        known = self._find(target_id(write))
         if isinstance(write, ChangeLifecycle | RemoveEndpoint):
             self._claims.check(write.fence)
         endpoint = next_endpoint(write, known, self._generation + 1, self._count)
--- a/orchidhatch/control/registry/command.py
+++ b/orchidhatch/control/registry/command.py
@@ -2,7 +2,7 @@
 
     python -m orchidhatch.registry --listen 127.0.0.1:8500 --store list.db [--create]
 
-The exit status is 1 where the store cannot be opened or the address not be listened at.
+The exit status is 1 if the store cannot be opened, or if the process cannot listen on the address.
 """
 
 import argparse
@@ -21,30 +21,31 @@
 
 log = logging.getLogger("orchidhatch.registry")
 
-DESCRIPTION = "The registry: holds the endpoint list, which is read and watched over HTTP."
+DESCRIPTION = "The registry: stores the endpoint list, which clients read and watch over HTTP."
 LOG_FORMAT = "%(asctime)s %(levelname)s %(name)s: %(message)s"
 
 
 async def serve(options: argparse.Namespace) -> None:
-    """Run a registry until a signal to end."""
-    # A new store goes on from the time in ms: above what one before it gave, at under 1,000 writes a second.
+    """Run a registry until SIGTERM or SIGINT."""
+    # A new store starts at the Unix time in ms, which is above all generations of an earlier store as long as
+    # there were fewer than 1,000 writes a second.
     store = Store(options.store, options.create, first=time.time_ns() // 1_000_000)
     registry = Registry(
         store, seed=os.getpid(), peers=options.peer, follow=options.follow, backups=options.backups
     )
-    stopped = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, stopped.set)
+    stop_requested = asyncio.Event()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        asyncio.get_running_loop().add_signal_handler(signal_number, stop_requested.set)
     await registry.start(*options.listen)
     host, port = registry.listener.sockets[0].getsockname()
     log.info("serves generation %d of %s at %s:%d", store.generation, store.identity, host, port)
-    await stopped.wait()
+    await stop_requested.wait()
     await registry.close()
     log.info("registry ended")
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """The command line."""
+    """Return the parser of the command line."""
     parser = argparse.ArgumentParser(prog="orchidhatch.registry", description=DESCRIPTION)
     parser.add_argument("--listen", type=parse_address, required=True, metavar="HOST:PORT")
     parser.add_argument("--store", type=Path, required=True, metavar="FILE")
@@ -62,15 +63,15 @@
         action="append",
         default=[],
         metavar="HOST:PORT",
-        help="be a replica of this registry: serve reads, take no writes until promoted",
+        help="replicate this registry: serve reads, accept no writes until promoted",
     )
-    parser.add_argument("--backups", type=Path, metavar="FOLDER", help="where backups of the store are kept")
-    parser.add_argument("--create", action="store_true", help="make a new store where there is none")
+    parser.add_argument("--backups", type=Path, metavar="FOLDER", help="folder for backups of the store")
+    parser.add_argument("--create", action="store_true", help="create a new store if there is none")
     return parser
 
 
 def main() -> int:
-    """Run the command; the exit status."""
+    """Run the command and return its exit status."""
     logging.basicConfig(level=logging.INFO, format=LOG_FORMAT)
     try:
         asyncio.run(serve(build_parser().parse_args()))
--- a/orchidhatch/control/registry/endpoint_handlers.py
+++ b/orchidhatch/control/registry/endpoint_handlers.py
@@ -1,4 +1,4 @@
-"""The requests about endpoints and their leases."""
+"""Request handlers for endpoints and their leases."""
 
 import logging
 from collections.abc import Awaitable, Callable, Coroutine
@@ -25,12 +25,12 @@
 
 log = logging.getLogger("orchidhatch.registry")
 
-RunInTurn = Callable[[Callable[[], None]], Awaitable[None]]
+RunSerialized = Callable[[Callable[[], None]], Awaitable[None]]
 StartTask = Callable[[Coroutine[None, None, None]], None]
 
 
 class EndpointHandlers:
-    """Requests about endpoints and their leases."""
+    """The request handlers for endpoints and their leases."""
 
     def __init__(
         self, store: Store, writes: WritePipeline, expiry: EndpointLeaseExpiry, access: WriteAccess
@@ -41,7 +41,7 @@
         self._access = access
 
     def add_routes(self, router: Router) -> None:
-        """Add all routes of these handlers."""
+        """Register the routes of these handlers."""
         router.add("POST", "/entries", self._register)
         router.add("POST", "/entries/{}/lifecycle", self._change_lifecycle)
         router.add("POST", "/entries/{}/renew", self._renew)
@@ -80,9 +80,12 @@
         return ConflictError(f"{id_} is in incarnation {listed.incarnation}, not {incarnation}")
 
     def _expire_leases(self, request: Request) -> Response:
-        """For the owner of this task: the registry's own check rests while one calls."""
+        """Remove overdue endpoints for the owner of this task.
+
+        The registry's own check is suspended while an owner calls regularly.
+        """
         fence = read_fence(request.body)
         self._access.check_may_renew()
         check_fence(self._store, fence)
-        removing = self._expiry.check_for_owner(fence)
-        return Response(200, LeaseExpiryResponse(removing, self._expiry.leases.withheld))
+        removal_count = self._expiry.check_for_owner(fence)
+        return Response(200, LeaseExpiryResponse(removal_count, self._expiry.leases.withheld))
--- a/orchidhatch/control/registry/endpoints.py
+++ b/orchidhatch/control/registry/endpoints.py
@@ -1,6 +1,6 @@
-"""Endpoints, the entries of the endpoint list, and the writes that change them.
+"""Endpoints, which are the entries of the endpoint list, and the writes that change them.
 
-All is pure: a write and the listed endpoint give the endpoint that is listed next, or a ConflictError.
+All functions are pure: a write and the listed endpoint determine the new endpoint, or a ConflictError.
 """
 
 import json
@@ -12,13 +12,13 @@
 from orchidhatch.control.error_signs import OTHER_INCARNATION_SIGN
 from orchidhatch.control.errors import ConflictError, NotFoundError
 from orchidhatch.control.ownership.objects import Fence
-from orchidhatch.control.registry.checksums import digest_of
+from orchidhatch.control.registry.checksums import text_digest
 
 MAX_ENDPOINTS = 100_000
 
 
 class Lifecycle(StrEnum):
-    """How an endpoint may be used; DELETED only in changes and in the history."""
+    """The lifecycle state of an endpoint; DELETED occurs only in changes and in the history."""
 
     SERVING = "SERVING"
     DRAINING = "DRAINING"
@@ -32,12 +32,12 @@
     msgspec.Struct,
     frozen=True,
     forbid_unknown_fields=True,
-    rename={"machine_type": "kind", "incarnation": "life"},  # as they are stored
+    rename={"machine_type": "kind", "incarnation": "life"},  # field names in the store
 ):
-    """A backend as listed.
+    """A backend in the endpoint list.
 
     `version` is the generation of its last change, `incarnation` that of its last registration. `lease_ms`
-    is for how long it is listed without a renewal; 0: until it is removed.
+    is how long it stays listed without a renewal; 0 means until it is removed.
     """
 
     id: str
@@ -54,14 +54,14 @@
 
     @property
     def is_deleted(self) -> bool:
-        """Whether this is the mark of a removal."""
+        """Whether this represents a removal."""
         return self.lifecycle == Lifecycle.DELETED
 
 
 class RegisterEndpoint(msgspec.Struct, frozen=True):
-    """List an endpoint, or list it anew after a restart: a new incarnation begins.
+    """Add an endpoint, or replace it after a restart; a new incarnation begins.
 
-    `if_version` 0: only if it is not listed.
+    With an `if_version` of 0, the write succeeds only if the endpoint is not listed.
     """
 
     endpoint: Endpoint
@@ -69,7 +69,7 @@
 
 
 class ChangeLifecycle(msgspec.Struct, frozen=True):
-    """Change how a listed endpoint may be used; `fence` where it is on behalf of the fleet."""
+    """Change the lifecycle state of a listed endpoint; a controller passes the `fence` of its claim."""
 
     id: str
     lifecycle: Lifecycle
@@ -78,7 +78,7 @@
 
 
 class RemoveEndpoint(msgspec.Struct, frozen=True):
-    """Remove an endpoint from the list; only this incarnation, if one is given."""
+    """Remove an endpoint; if `incarnation` is given, only that incarnation."""
 
     id: str
     if_version: int | None = None
@@ -87,7 +87,7 @@
 
 
 class ReplicateEndpoint(msgspec.Struct, frozen=True):
-    """List what an upstream has, whatever is listed here. An incarnation of 0 is not known."""
+    """Copy an upstream's endpoint over the one listed here. An incarnation of 0 means unknown."""
 
     endpoint: Endpoint
 
@@ -95,36 +95,36 @@
 EndpointWrite = RegisterEndpoint | ChangeLifecycle | RemoveEndpoint | ReplicateEndpoint
 
 
-def target_of(write: EndpointWrite) -> str:
-    """The id of the endpoint that a write is about."""
+def target_id(write: EndpointWrite) -> str:
+    """Return the id of the endpoint that a write changes."""
     if isinstance(write, RegisterEndpoint | ReplicateEndpoint):
         return write.endpoint.id
     return write.id
 
 
 def encode_endpoint(endpoint: Endpoint) -> str:
-    """The stored form. Checksums are over this text, so it must not change."""
+    """Encode an endpoint for storage. Checksums cover this text, so the format must not change."""
     return json.dumps(msgspec.to_builtins(endpoint), sort_keys=True, allow_nan=False)
 
 
 def decode_endpoint(text: str) -> Endpoint:
-    """An endpoint in its stored form. Raises ValueError where it is none."""
+    """Decode an endpoint from its stored form. Raises ValueError if the text is malformed."""
     return msgspec.convert(json.loads(text), Endpoint)
 
 
 def endpoint_digest(endpoint: Endpoint | None) -> int:
-    """What a listed endpoint adds to the sum of digests; 0 where none is listed."""
-    return digest_of(encode_endpoint(endpoint)) if endpoint else 0
+    """Return an endpoint's share of the sum of digests; 0 if no endpoint is listed."""
+    return text_digest(encode_endpoint(endpoint)) if endpoint else 0
 
 
 def next_endpoint(
     write: EndpointWrite, listed: Endpoint | None, generation: int, listed_count: int
 ) -> Endpoint:
-    """The endpoint as the write leaves it at this generation.
+    """Return the endpoint that results from a write at this generation.
 
-    `listed` is what the list has of it, `listed_count` how many endpoints the list has.
+    `listed` is the endpoint in the list, None if it has none; `listed_count` is the length of the list.
 
-    Raises ConflictError where the write does not fit.
+    Raises ConflictError if the write does not fit the listed endpoint.
     """
     if isinstance(write, ReplicateEndpoint):
         return _replicated(write.endpoint, listed, generation)
@@ -136,7 +136,7 @@
     if isinstance(write, RemoveEndpoint):
         return _removed(write, listed, generation)
     if write.lifecycle not in LISTED_LIFECYCLES:
-        raise ConflictError(f"{write.lifecycle} is no lifecycle that can be set")
+        raise ConflictError(f"the lifecycle cannot be set to {write.lifecycle}")
     return replace(listed, lifecycle=write.lifecycle, version=generation)
 
 
@@ -145,7 +145,7 @@
 ) -> None:
     version = listed.version if listed else 0
     if write.if_version is not None and write.if_version != version:
-        raise ConflictError(f"{target_of(write)} is at version {version}, not {write.if_version}")
+        raise ConflictError(f"{target_id(write)} is at version {version}, not {write.if_version}")
 
 
 def _replicated(endpoint: Endpoint, listed: Endpoint | None, generation: int) -> Endpoint:
@@ -157,13 +157,13 @@
     if endpoint.lifecycle not in LISTED_LIFECYCLES:
         raise ConflictError(f"{endpoint.id} cannot be registered as {endpoint.lifecycle}")
     if listed is None and listed_count >= MAX_ENDPOINTS:
-        raise ConflictError(f"the list holds {MAX_ENDPOINTS} entries, and no more")
+        raise ConflictError(f"the endpoint list has reached its limit of {MAX_ENDPOINTS} entries")
     if listed and endpoint.started_ms < listed.started_ms:
-        raise ConflictError(f"{endpoint.id} has started anew since")
+        raise ConflictError(f"a later start of {endpoint.id} is already registered")
     return replace(endpoint, version=generation, incarnation=generation)
 
 
 def _removed(write: RemoveEndpoint, listed: Endpoint, generation: int) -> Endpoint:
     if write.incarnation not in (None, listed.incarnation):
-        raise ConflictError(f"{write.id} is in {OTHER_INCARNATION_SIGN} since")
+        raise ConflictError(f"{write.id} has been re-registered since, in {OTHER_INCARNATION_SIGN}")
     return replace(listed, lifecycle=Lifecycle.DELETED, version=generation)
--- a/orchidhatch/control/registry/lease_expiry.py
+++ b/orchidhatch/control/registry/lease_expiry.py
@@ -1,7 +1,7 @@
-"""Removes endpoints whose leases have run out.
+"""Removes endpoints whose leases have expired.
 
-A controller that owns this task has overdue endpoints removed under its claim; while one does, the registry's
-own check rests.
+The controller that owns this task triggers the removal under its claim. While it calls regularly, the
+registry's own check is suspended.
 """
 
 import logging
@@ -17,11 +17,11 @@
 
 log = logging.getLogger("orchidhatch.registry")
 
-OWNER_ACTIVE_S = 3.0  # since the last call of an owner; then the registry checks again itself
+OWNER_ACTIVE_S = 3.0  # after the owner's last call; then the registry's own check resumes
 
 
 class EndpointLeaseExpiry:
-    """The leases of all endpoints, and the removal of those that are overdue."""
+    """Tracks the leases of all endpoints, and removes endpoints whose leases are overdue."""
 
     def __init__(self, store: Store, writes: WritePipeline, now_s: Callable[[], float]) -> None:
         self.expired = 0
@@ -32,34 +32,37 @@
         self.restart()
 
     def restart(self) -> None:
-        """Begin all leases anew: nobody could renew them here before."""
+        """Restart all leases, as they could not be renewed here before."""
         self.leases = LeaseTable(self._store.entries.values(), self._now_s())
 
     def renew(self, id_: str, incarnation: int) -> bool:
-        """Whether this incarnation has a lease; then it begins anew."""
+        """Renew the lease of an incarnation; return False if it has none."""
         return self.leases.renew(id_, incarnation, self._now_s())
 
     # --- removal ---
 
     def check(self) -> None:
-        """Remove what is overdue, unless an owner sees to it."""
+        """Remove overdue endpoints, unless a controller owns the task and is active."""
         if self._now_s() - self.last_owner_call_s >= OWNER_ACTIVE_S:
             self._remove_overdue(None)
 
     def check_for_owner(self, fence: Fence) -> int:
-        """Remove what is overdue under an owner's claim, which was checked; how many."""
+        """Remove overdue endpoints under an owner's claim, and return their number.
+
+        The caller has checked the fence.
+        """
         self.last_owner_call_s = self._now_s()
         return self._remove_overdue(fence)
 
     def _remove_overdue(self, fence: Fence | None) -> int:
-        """Each removal is held against the fence again."""
+        """Queue the removal of overdue endpoints, which checks the fence again, and return their number."""
         withheld_before = self.leases.withheld
         overdue = self.leases.take_overdue(self._now_s())
         for endpoint in overdue:
             self._remove(endpoint, fence)
         if self.leases.withheld and not withheld_before:
             log.error(
-                "ALARM: endpoint leases would run out together, removal is withheld: overdue=%d leases=%d",
+                "ALARM: mass expiry of endpoint leases withheld: overdue=%d leases=%d",
                 self.leases.withheld,
                 len(self.leases.leases),
             )
@@ -73,43 +76,43 @@
             self.leases.restore_overdue(endpoint, self._now_s())
 
     def metrics(self) -> dict[str, float]:
-        """Metrics by name, without the registry's prefix."""
+        """Return the metrics by name, without the registry's prefix."""
         return {
             "leases": len(self.leases.leases),
             "leases_held": self.leases.withheld,
             "leases_expired_total": self.expired,
         }
 
-    # --- what was written ---
+    # --- notifications about writes ---
 
     def batch_written(self, writes: Sequence[QueuedWrite], outcomes: Sequence[Outcome]) -> None:
-        """Begin and end the leases of changed endpoints; put back those whose removal was rejected."""
+        """Start and end the leases of changed endpoints; restore a lease if the removal was rejected."""
         for outcome in outcomes:
             if isinstance(outcome, Endpoint):
-                self._follow_change(outcome)
+                self._update_lease(outcome)
         for queued, outcome in zip(writes, outcomes, strict=True):
             if queued.connection:
                 continue
             if isinstance(outcome, ConflictError):
-                self._put_back(queued)
+                self._restore_lease(queued)
             elif isinstance(queued.write, RemoveEndpoint):
                 self.expired += 1
 
     def batch_failed(self, writes: Sequence[QueuedWrite]) -> None:
-        """Put back those whose removal failed."""
+        """Restore the leases of endpoints whose removal failed."""
         for queued in writes:
             if not queued.connection:
-                self._put_back(queued)
+                self._restore_lease(queued)
 
-    def _follow_change(self, changed: Endpoint) -> None:
+    def _update_lease(self, changed: Endpoint) -> None:
         listed = self._store.entries.get(changed.id)
         if listed is None:
             self.leases.forget(changed.id)
         elif listed == changed:
             self.leases.begin(listed, self._now_s())
 
-    def _put_back(self, queued: QueuedWrite) -> None:
-        """A removal over a lease did not come about: whom it concerned is overdue still."""
+    def _restore_lease(self, queued: QueuedWrite) -> None:
+        """Mark an endpoint as overdue again after its removal was rejected or failed."""
         write = queued.write
         listed = self._store.entries.get(write.id) if isinstance(write, RemoveEndpoint) else None
         if listed is None or listed.incarnation != write.incarnation:
--- a/orchidhatch/control/registry/list_persistence.py
+++ b/orchidhatch/control/registry/list_persistence.py
@@ -1,4 +1,4 @@
-"""What of a replicated endpoint list has to be on disk before it is shown to others."""
+"""Decides which changes of a replicated endpoint list must be on disk before they are published."""
 
 import logging
 import time
@@ -12,9 +12,9 @@
 log = logging.getLogger("orchidhatch.replication")
 
 CATCH_UP_INTERVAL_S = 1.0
-"""How often at most the whole list is written again to a disk that failed."""
+"""The minimum interval between attempts to rewrite the whole list after a disk failure."""
 MAX_RANDOM_SKIP = 1000
-"""Generations that are skipped at random, at most, where the wall clock is behind them."""
+"""The bound of the random skip of generations that is used if the wall clock is behind the generation."""
 
 
 class ListPersistence(Protocol):
@@ -22,20 +22,21 @@
 
     @property
     def is_behind(self) -> bool:
-        """Whether the file lacks some of the list that is shown."""
+        """Whether the file lacks changes that were published."""
 
     async def commit(self, batch: Batch) -> bool:
-        """Called before a batch is published: whether it may be. Raises StoreError where its writes may not.
+        """Commit a batch before it is published, and return whether it may be published as planned.
 
-        Where it may not be, its writes are to be planned anew, as generations have moved on.
+        If not, generations were skipped, and the caller must plan the writes again. Raises StoreError if the
+        writes must not be published.
         """
 
     async def catch_up(self) -> None:
-        """Called from time to time, after what was committed has been published."""
+        """Make up for failed commits; called regularly, while all committed batches are published."""
 
 
 class DurableList:
-    """Everything is durable before it is shown, as by a registry that may be promoted."""
+    """Makes every change durable before it is published, for a registry that may be promoted."""
 
     is_behind = False
 
@@ -43,19 +44,19 @@
         self._server = server
 
     async def commit(self, batch: Batch) -> bool:
-        """Make the batch durable, in a thread: heartbeats go on while the disk is slow."""
+        """Make the batch durable, in a thread so that heartbeats continue while the disk is slow."""
         await self._server.store_executor.run(lambda: self._server.store.commit(batch))
         return True
 
     async def catch_up(self) -> None:
-        """There is nothing to catch up on."""
+        """Do nothing, as the file is never behind."""
 
 
 class CachedList:
-    """What is received is shown though the disk fails: the file is a cache of what the registries have.
+    """Publishes changes even if the disk fails, as the file is only a cache of the registries' list.
 
-    After a failed commit the file lacks a change, and later ones do not fit it. So nothing is committed until
-    the whole list could be written anew.
+    After a failed commit the file lacks a change, and later ones cannot be applied to it. So nothing is
+    committed until the whole list has been rewritten.
     """
 
     def __init__(
@@ -67,16 +68,16 @@
         self._server = server
         self._wall_clock_ms = wall_clock_ms
         self._clock = clock
-        self._tried_s = -CATCH_UP_INTERVAL_S
-        # Whether the process before this one may have shown more than the file has.
-        self._may_lag = bool(server.store.entries)
+        self._last_attempt_s = -CATCH_UP_INTERVAL_S
+        # Whether the previous process may have published changes that the file lacks.
+        self._may_be_stale = bool(server.store.entries)
         self.is_behind = False
         self.failures = 0
 
     async def commit(self, batch: Batch) -> bool:
-        """Try to make the batch durable."""
-        if self._may_lag and batch.changed:
-            self._may_lag = False
+        """Try to make the batch durable; return False after a failure, as generations were skipped then."""
+        if self._may_be_stale and batch.changed:
+            self._may_be_stale = False
             self._skip_generations()
             return False
         if self.is_behind:
@@ -84,23 +85,24 @@
         try:
             await self._server.store_executor.run(lambda: self._server.store.commit(batch))
         except StoreError as error:
-            self._fall_behind(error)
+            self._record_failure(error)
             return False
         return True
 
-    def _fall_behind(self, error: StoreError) -> None:
-        """From now on changes are shown that the file does not have."""
+    def _record_failure(self, error: StoreError) -> None:
+        """Record a failed commit: from now on published changes are missing from the file."""
         self.failures += 1
-        self._tried_s = self._clock()
+        self._last_attempt_s = self._clock()
         self._skip_generations()
-        log.error("cache not written, the list goes on in memory: error=%s", error)
+        log.error("cache write failed, the list is kept in memory: error=%s", error)
 
     def _skip_generations(self) -> None:
-        """Go on above all generations that another process may show or have shown.
+        """Advance above all generations that an earlier or later process on this file may publish.
 
-        One that goes on from the same file does this at its first change, and lists change less often than
-        the wall clock's milliseconds pass. Where that was stepped back, chance keeps the two apart, and a
-        watch that names a generation from the future is sent the whole list.
+        Each process that continues from the file does this at its first change. The generation becomes the
+        wall clock's milliseconds, which pass faster than lists change. If the clock was set back, a random
+        skip keeps the generations of two processes apart, and a watch that names a future generation is sent
+        the whole list.
         """
         self.is_behind = True
         store = self._server.store
@@ -109,14 +111,14 @@
         store.skip_generations(now_ms if now_ms > store.generation else random_skip)
 
     async def catch_up(self) -> None:
-        """Write the whole list where the file lacks some of it, not more often than CATCH_UP_INTERVAL_S."""
-        if not self.is_behind or self._clock() - self._tried_s < CATCH_UP_INTERVAL_S:
+        """Rewrite the whole list if the file lacks changes, at most once per CATCH_UP_INTERVAL_S."""
+        if not self.is_behind or self._clock() - self._last_attempt_s < CATCH_UP_INTERVAL_S:
             return
-        self._tried_s = self._clock()
+        self._last_attempt_s = self._clock()
         try:
             await self._server.store_executor.run(self._server.store.rewrite)
         except StoreError:
             self.failures += 1
             return
         self.is_behind = False
-        log.info("cache written again: generation=%d", self._server.store.generation)
+        log.info("cache rewritten: generation=%d", self._server.store.generation)
--- a/orchidhatch/control/registry/open_errors.py
+++ b/orchidhatch/control/registry/open_errors.py
@@ -1,7 +1,7 @@
-"""Tells a damaged store file from a disk that fails while the file is opened.
+"""Distinguishes a damaged store file from a disk failure while the file is opened.
 
-The two need different answers: a damaged file is set aside or rebuilt, a file that cannot be read now is
-left alone and opened again later.
+The two are handled differently: a damaged file is renamed or rebuilt, whereas a file that cannot be read now
+is left unchanged and opened again later.
 """
 
 import sqlite3
@@ -11,8 +11,8 @@
 from orchidhatch.control.errors import CorruptStoreError, StoreError
 
 MAX_CAUSE_LENGTH = 200
-PRIMARY_CODE_MASK = 0xFF  # the rest of an extended result code says which call failed
-# What SQLite reports of the disk, the memory or another process, whatever the file holds.
+PRIMARY_CODE_MASK = 0xFF  # the other bits of an extended result code tell which operation failed
+# Result codes for the disk, the memory or another process, which do not depend on the file's content.
 ENVIRONMENT_CODES = frozenset(
     {
         sqlite3.SQLITE_AUTH,
@@ -33,11 +33,11 @@
 
 @contextmanager
 def typed_open_errors(file_name: str) -> Iterator[None]:
-    """Raise StoreError where the file cannot be read now, CorruptStoreError for whatever its content causes.
+    """Convert errors: to StoreError if the file cannot be read now, to CorruptStoreError if it is damaged.
 
-    An sqlite3.OperationalError alone does not tell them apart: it stands for a failing disk, for a damaged
-    schema ("no such column") and, without a result code, for text that is not UTF-8. SQLite also puts the
-    schema's text into its messages, which Python decodes first: a schema that is not UTF-8 raises
+    An sqlite3.OperationalError alone does not distinguish them: it is raised for a failing disk, for a
+    damaged schema ("no such column") and, without a result code, for text that is not UTF-8. SQLite also
+    includes the schema's text in its messages, which Python decodes first: a schema that is not UTF-8 raises
     UnicodeDecodeError, a ValueError.
     """
     try:
@@ -51,11 +51,14 @@
 
 
 def is_environment_error(error: sqlite3.Error) -> bool:
-    """Whether the disk, the memory or another process is the cause; an error without a code is not."""
+    """Return whether the disk, the memory or another process is the cause.
+
+    An error without a result code is attributed to the file.
+    """
     code = getattr(error, "sqlite_errorcode", None)
     return code is not None and code & PRIMARY_CODE_MASK in ENVIRONMENT_CODES
 
 
 def one_line(error: Exception) -> str:
-    """The error's text on one line of bounded length."""
+    """Return the error's text on a single line of at most MAX_CAUSE_LENGTH characters."""
     return " ".join(str(error).split())[:MAX_CAUSE_LENGTH]
--- a/orchidhatch/control/registry/policy_lease_host.py
+++ b/orchidhatch/control/registry/policy_lease_host.py
@@ -1,4 +1,4 @@
-"""The registry as the policy leases of its gateways see it."""
+"""The registry's interface for the service that grants policy leases."""
 
 from collections.abc import Callable, Sequence
 
@@ -12,7 +12,7 @@
 
 
 class PolicyLeaseHost:
-    """Implements `orchidhatch.control.policy.lease_host.LeaseHost`."""
+    """The registry's implementation of `orchidhatch.control.policy.lease_host.LeaseHost`."""
 
     def __init__(
         self,
@@ -29,11 +29,11 @@
         self._now_s = now_s
 
     def clock(self) -> float:
-        """Monotonic seconds."""
+        """Return monotonic seconds."""
         return self._now_s()
 
     def accepts_writes(self) -> bool:
-        """Whether the registry accepts writes."""
+        """Return whether the registry accepts writes."""
         try:
             self._access.check_writable()
         except ConflictError:
@@ -41,21 +41,21 @@
         return True
 
     def may_decide(self) -> bool:
-        """Whether the registry accepts writes, and knows that it was not replaced."""
+        """Return whether the registry accepts writes and a recent check shows that it was not replaced."""
         return self.accepts_writes() and self._peer_terms.is_current()
 
     def check_may_renew(self) -> None:
-        """Raise ConflictError or UnavailableError where leases may not be renewed."""
+        """Raise ConflictError or UnavailableError if leases must not be renewed."""
         self._access.check_may_renew()
 
     def enqueue(self, write: ClaimsWrite, connection: Connection) -> None:
-        """Queue a client's write, which is answered with its outcome. May raise ControlError."""
+        """Queue a client's write, whose outcome is sent to the connection. May raise ControlError."""
         self._writes.enqueue(write, connection)
 
     def enqueue_internal(self, write: ClaimsWrite) -> bool:
-        """Queue a write of the registry itself; whether it is queued."""
+        """Queue a write of the registry itself and return whether it was queued."""
         return self._writes.enqueue_internal(write)
 
     async def write_aside(self, writes: Sequence[ClaimsWrite]) -> None:
-        """Write what a replica keeps beside the endpoint list. Raises StoreError."""
+        """Write a replica's own data, which is not part of the endpoint list. Raises StoreError."""
         await self._writes.write_aside(writes)
--- a/orchidhatch/control/registry/promotion.py
+++ b/orchidhatch/control/registry/promotion.py
@@ -1,7 +1,8 @@
-"""Promotion: a replica becomes the registry that takes writes, in a new term.
+"""Promotion: a replica becomes the registry that accepts writes, in a new term.
 
-It is refused while another registry may still take writes, unless it is forced. What may be is the upstream,
-if it still answers or a process still listens where it was, and a peer that was sent the term a moment ago.
+Unless forced, a promotion is refused while another registry may still accept writes. This may be the
+upstream, if it still answers or a process still listens at its address, or a peer that received this
+registry's term recently.
 """
 
 import asyncio
@@ -21,7 +22,7 @@
 
 
 class Promotion:
-    """Promotes this registry; `on_promoted` has its services begin anew."""
+    """Promotes this registry; `on_promoted` restarts its services in the new term."""
 
     def __init__(
         self,
@@ -36,17 +37,17 @@
         self._on_promoted = on_promoted
 
     async def upstream_may_run(self) -> bool:
-        """Whether something takes connections where the upstream was, or nothing says that it does not.
+        """Return whether the upstream may still run: its address does not refuse connections.
 
-        A process that was stopped does, and may wake up within the time that its last check holds.
+        A paused process still has a listening socket, and may continue while its last peer check is valid.
         """
         replicator = self._role.replicator
         return replicator is not None and await asyncio.to_thread(replicator.upstream_may_run)
 
     def promote(self, force: bool, upstream_may_run: bool) -> PromotionResponse:
-        """Begin a term above all that is known. Nothing that was replicated may be half way to the disk.
+        """Begin a term above all known ones. No replicated batch may be in the middle of its commit.
 
-        Raises ConflictError where it is refused, StoreError where the term cannot be written.
+        Raises ConflictError if the promotion is refused, StoreError if the term cannot be written.
         """
         replicator = self._check(force, upstream_may_run)
         first_generation = max(replicator.position.generation + 1, time.time_ns() // 1_000_000)
@@ -72,29 +73,31 @@
         return response
 
     def _check(self, force: bool, upstream_may_run: bool) -> Replicator:
-        """What this registry replicates. Raises ConflictError where it must not be promoted."""
+        """Return the replicator. Raises ConflictError if this registry must not be promoted."""
         replicator = self._role.replicator
         if not replicator:
-            raise ConflictError(f"it follows none; it is the registry of term {self._store.term}")
+            raise ConflictError(
+                f"this registry is not a replica; it is the registry of term {self._store.term}"
+            )
         if not replicator.has_list:
-            raise ConflictError("it has never received a list")
+            raise ConflictError("this replica has never received a list")
         if force:
             return replicator
         if replicator.connected:
-            raise ConflictError(f"{replicator.upstream} still answers; stop it first, or force it")
+            raise ConflictError(f"{replicator.upstream} still answers; stop it first, or force the promotion")
         self._check_no_peer_relies_on_term()
         silence_s = replicator.silence_s()
         if upstream_may_run and silence_s < WATCH_TIMEOUT_S:
             raise ConflictError(
-                f"{replicator.upstream} is silent for {silence_s:.1f} s only and may go on; "
-                f"ask again after {WATCH_TIMEOUT_S:g} s, or force it"
+                f"{replicator.upstream} has been silent for only {silence_s:.1f} s and may continue; "
+                f"retry after {WATCH_TIMEOUT_S:g} s of silence, or force the promotion"
             )
         return replicator
 
     def _check_no_peer_relies_on_term(self) -> None:
-        age_s = self._peer_terms.since_term_query_s()
+        age_s = self._peer_terms.term_query_age_s()
         if age_s < PROMOTION_DELAY_S:
             raise ConflictError(
-                f"a peer asked {age_s:.1f} s ago and may still take writes; stop it, "
-                f"wait {PROMOTION_DELAY_S:.1f} s, or force it"
+                f"a peer asked {age_s:.1f} s ago and may still accept writes; stop it, "
+                f"wait {PROMOTION_DELAY_S:.1f} s, or force the promotion"
             )
--- a/orchidhatch/control/registry/replica_role.py
+++ b/orchidhatch/control/registry/replica_role.py
@@ -1,4 +1,4 @@
-"""Whether this registry is a replica: of which upstream, and the tasks that replicate it."""
+"""The registry's role, replica or primary, with the tasks that replicate the upstream."""
 
 import asyncio
 from collections.abc import Coroutine, Iterable
@@ -9,9 +9,9 @@
 
 
 class ReplicaRole:
-    """The replicator while this registry is a replica; None when it is the primary.
+    """The role of this registry. `replicator` is None if it is the primary.
 
-    Only `become_primary` changes it, once. The tasks are cancelled then, or when the server closes.
+    Only `become_primary` changes the role, once. The tasks are cancelled then, or when the server closes.
     """
 
     def __init__(self, replicator: Replicator | None) -> None:
@@ -19,7 +19,7 @@
         self.tasks: list[asyncio.Task[None]] = []
 
     def start(self, coroutines: Iterable[Coroutine[None, None, None]]) -> list[asyncio.Task[None]]:
-        """Start what replicates the upstream; the tasks, for their owner to cancel and await at the end."""
+        """Start and return the replication tasks, which the caller must cancel and await at shutdown."""
         self.tasks = [asyncio.create_task(coroutine) for coroutine in coroutines]
         return self.tasks
 
@@ -32,4 +32,6 @@
     def check_is_primary(self) -> None:
         """Raise ConflictError while this registry is a replica."""
         if self.replicator:
-            raise ConflictError(f"it follows {self.replicator.upstream}, and {READ_ONLY_SIGN}")
+            raise ConflictError(
+                f"this registry is a replica of {self.replicator.upstream} and {READ_ONLY_SIGN}"
+            )
--- a/orchidhatch/control/registry/replication.py
+++ b/orchidhatch/control/registry/replication.py
@@ -1,8 +1,8 @@
 """Replicates the endpoint list of an upstream service into the store of this one.
 
-An agent replicates from registries for its gateway; a registry that was started with --follow replicates from
-another one to be able to replace it. A replica only goes forward: a list of an earlier term, or of an earlier
-generation of the same store, is not taken over.
+An agent replicates from the registries on behalf of its gateway. A registry that was started with --follow
+replicates from another one so that it can replace it. A replica never goes back: it rejects a list of an
+earlier term, or of an earlier generation of the same store.
 """
 
 import asyncio
@@ -36,28 +36,28 @@
 
 log = logging.getLogger("orchidhatch.replication")
 
-INITIAL_BACKOFF_S = 0.2  # of the mean wait between attempts; it doubles
+INITIAL_BACKOFF_S = 0.2  # mean wait before the first retry; doubles with each one
 MAX_BACKOFF_S = 8.0
-POSITION_SAVE_INTERVAL_S = 10.0  # how often it is saved that the list still holds
+POSITION_SAVE_INTERVAL_S = 10.0  # while the list is unchanged; each change is saved at once
 
 WATCH_ERRORS = (OSError, TimeoutError, InvalidRequestError, StoreError, h11.ProtocolError)
 
 
 class StaleUpstreamError(Exception):
-    """An upstream offers an older list than one that was received before."""
+    """An upstream sent an older list than one received before."""
 
 
 def current_time_ms() -> int:
-    """Unix time in milliseconds."""
+    """Return the Unix time in milliseconds."""
     return time.time_ns() // 1_000_000
 
 
 class Replicator:
-    """Keeps a server's store as one of several upstream services tells it, and switches where one fails.
+    """Keeps a server's store in line with one of several upstream services, switching to the next on failure.
 
-    `persistence` says what has to be on disk before the list is shown; all of it, if not given.
-    `include_leases` asks for incarnations and leases too, which the protocol's form has not. The server's
-    metrics and health read the public attributes; only the replicator writes them.
+    `persistence` decides what must be on disk before the list is published; by default, all of it.
+    `include_leases` requests incarnations and leases too, which the basic form of the protocol lacks. The
+    server's metrics and health read the public attributes; only the replicator writes them.
     """
 
     def __init__(
@@ -89,42 +89,42 @@
 
     @property
     def upstream_address(self) -> Address:
-        """The service that is watched, or is the next to be watched."""
+        """The service that is watched now, or will be watched next."""
         return self.upstreams[self._upstream_index]
 
     @property
     def upstream(self) -> str:
-        """The same as host:port."""
+        """The upstream's address as host:port."""
         return format_address(self.upstream_address)
 
     @property
     def has_list(self) -> bool:
-        """Whether a list was ever received."""
+        """Whether a list has ever been received."""
         return self.position.confirmed_at_ms > 0
 
     def silence_s(self) -> float:
-        """Time since the last line, or since the start, by the monotonic clock."""
+        """Return the seconds since the last line, or since the start, by the monotonic clock."""
         return time.monotonic() - self._last_line_received_s
 
     def list_age_s(self) -> float:
-        """Time since the list was last known to hold, by the wall clock; -1 if it never was."""
+        """Return the seconds since the list was last confirmed as current, by the wall clock; -1 if never."""
         if not self.has_list:
             return -1.0
         return max(0, self.wall_clock_ms() - self.position.confirmed_at_ms) / 1000
 
     def highest_term(self) -> int:
-        """The highest term known: a store that is made from this list must be of a later one."""
+        """Return the highest known term; a store created from this list needs a higher one."""
         return max(self._server.store.term, term_of(self.position.store_name))
 
     def was_promoted(self) -> bool:
-        """Whether the store has begun a term of its own since it last received a list."""
+        """Return whether the store has begun a term of its own since it last received a list."""
         upstream_store = self.position.store_name
         return bool(upstream_store) and self._server.store.term > term_of(upstream_store)
 
     def upstream_may_run(self) -> bool:
-        """Whether a process may still be there: only a connection that is refused says that none is.
+        """Return whether the upstream's process may still run: False only if it refuses a connection.
 
-        This blocks for up to CONNECT_TIMEOUT_S and is meant for another thread.
+        Blocks for up to CONNECT_TIMEOUT_S, so it should be called in another thread.
         """
         try:
             socket.create_connection(self.upstream_address, CONNECT_TIMEOUT_S).close()
@@ -137,7 +137,7 @@
     # --- the watch ---
 
     async def run(self) -> None:
-        """Watch one upstream after the other, with a jittered exponential backoff, until cancelled."""
+        """Watch one upstream after another, with a jittered exponential backoff, until cancelled."""
         while True:
             upstream = self.upstream
             try:
@@ -154,7 +154,7 @@
             self._backoff_s = min(MAX_BACKOFF_S, 2 * self._backoff_s)
 
     async def _watch(self, address: Address) -> None:
-        """Follow one watch until it fails."""
+        """Process the events of one watch until it fails."""
         target = f"/catalog/members?watch=1&after={self.position.generation}"
         if self._include_leases:
             target += "&leases=1"
@@ -169,11 +169,11 @@
         if term_of(store_name) < self.highest_term():
             self.stale_lists += 1
             raise StaleUpstreamError(
-                f"its list is of term {term_of(store_name)}, term {self.highest_term()} is known here"
+                f"the list is of term {term_of(store_name)}, below the known term {self.highest_term()}"
             )
 
     async def _handle_line(self, store_name: str, line: bytes) -> None:
-        """A watch event, or an empty line: either says that the list as received holds by now."""
+        """Handle a watch event or an empty line; both confirm that the received list is current."""
         self._last_line_received_s = time.monotonic()
         if line.strip():
             await self.apply_event(store_name, line)
@@ -185,9 +185,9 @@
             await self._server.store_executor.run(self._save_position)
 
     async def apply_event(self, store_name: str, line: bytes) -> None:
-        """Make the list here what a watch event tells, as durable as the persistence promises.
+        """Apply a watch event to the list here, with the durability that `persistence` provides.
 
-        Raises InvalidRequestError, StaleUpstreamError or StoreError; the list is then as it was.
+        Raises InvalidRequestError, StaleUpstreamError or StoreError; the list is unchanged then.
         """
         event = decode_watch_event(line)
         is_new_store = store_name != self.position.store_name
@@ -197,30 +197,34 @@
         endpoints = list(self._decode_endpoints(event.instances))
         writes = self._writes_to_match(endpoints, event.reset)
         batch = store.plan(writes)
-        is_skipped = not await self._persistence.commit(batch)
-        if is_skipped:
+        has_skipped_generations = not await self._persistence.commit(batch)
+        if has_skipped_generations:
             batch = store.plan(writes)
         self.position = UpstreamPosition(store_name, event.generation, self.wall_clock_ms())
         store.publish(batch)
         self.connected = True
         self._backoff_s = INITIAL_BACKOFF_S
         if is_new_store or store.generation != generation_before:
-            self._server.broadcaster.broadcast(whole_list=is_new_store or is_skipped)
+            self._server.broadcaster.broadcast(whole_list=is_new_store or has_skipped_generations)
         await self._server.store_executor.run(self._save_position)
 
     def _check_event(self, event: WatchEvent, is_new_store: bool) -> None:
-        """Raise an error where the event would take the list back, or is no base to go on from."""
+        """Check that an event continues the list.
+
+        Raises StaleUpstreamError if the event is older than the list here, InvalidRequestError if it has only
+        the changes of a store whose list was not received.
+        """
         if not is_new_store and event.generation < self.position.generation:
             self.stale_lists += 1
             raise StaleUpstreamError(
-                f"its list is at generation {event.generation}, "
-                f"{self.position.generation} was received before"
+                f"the list is at generation {event.generation}, "
+                f"below the received generation {self.position.generation}"
             )
         if is_new_store and not event.reset:
-            raise InvalidRequestError("changes were sent where the whole list was needed")
+            raise InvalidRequestError("the upstream sent only changes where the whole list is required")
 
     def _decode_endpoints(self, instances: Iterable[object]) -> Iterator[Endpoint]:
-        """The endpoints; a malformed one is skipped, and the others hold."""
+        """Yield the endpoints of an event; malformed ones are logged and skipped."""
         for value in instances:
             try:
                 yield read_replicated_endpoint(value, include_leases=self._include_leases)
@@ -229,7 +233,7 @@
                 log.error("endpoint skipped: upstream=%s reason=%s", self.upstream, error)
 
     def _writes_to_match(self, endpoints: Sequence[Endpoint], reset: bool) -> list[Write]:
-        """The writes that make the list here the one that was received."""
+        """Return the writes that turn the list here into the received one."""
         writes: list[Write] = []
         listed = self._server.store.entries
         if reset:
@@ -244,7 +248,7 @@
         return writes
 
     def _save_position(self) -> None:
-        """Save how far the list goes; an older position only has more of the list sent again."""
+        """Save the position; after a failure the older one only causes more changes to be sent again."""
         self._saved_at_s = time.monotonic()
         if self._persistence.is_behind:
             return
@@ -255,9 +259,10 @@
 
 
 def is_same_endpoint(known: Endpoint, received: Endpoint) -> bool:
-    """Whether they differ in nothing that was received.
+    """Return whether a listed endpoint equals a received one in all received fields.
 
-    The version counts this store's generations. An endpoint in the protocol's form tells no incarnation.
+    The version is ignored, as it is a generation of this store. Incarnation and lease are ignored if the
+    upstream did not send them.
     """
     expected = msgspec.structs.replace(received, version=known.version)
     if not received.incarnation:
--- a/orchidhatch/control/registry/service.py
+++ b/orchidhatch/control/registry/service.py
@@ -1,7 +1,7 @@
 """The registry: the service that holds the endpoint list, sessions, claims and policy leases.
 
-Here its parts are wired together; each has a module of its own. `docs/architecture.md` shows the way of a
-write through them.
+This module connects its components, each of which has its own module. `docs/architecture.md` describes how a
+write passes through them.
 """
 
 import asyncio
@@ -40,9 +40,9 @@
 
 
 class Registry(EndpointListServer):
-    """The endpoint list and those who read and write it.
+    """The server of the endpoint list, with the components that read and write it.
 
-    `clock` gives monotonic seconds; all parts read it through `now_s`, so that it can be replaced.
+    `clock` returns monotonic seconds. All components read it through `now_s`, so that it can be replaced.
     """
 
     def __init__(
@@ -77,21 +77,21 @@
         self._add_routes(access, policy_host)
 
     def _new_replicator(self, upstreams: Sequence[Address]) -> Replicator | None:
-        """What replicates the upstreams; None also where this store was promoted before, as whoever starts it
-        again with the same options may not know.
+        """Return a replicator of the upstreams; None if there are none, or if this store was promoted before.
 
-        Raises StoreError for a replica's store without upstreams: it would take writes in their term.
+        A promoted registry may be restarted with the options that it had as a replica. Raises StoreError for
+        a replica's store without upstreams, as it would accept writes in the term of its upstream.
         """
         if not upstreams:
             if is_unpromoted_replica(self.store.db, self.store.term):
                 raise StoreError(
                     f"{self.store.path.name} is a replica's: start it with --follow, "
-                    "and then promote it if it is to take writes"
+                    "and then promote it if it should accept writes"
                 )
             return None
         replicator = Replicator(self, upstreams, include_leases=True)
         if replicator.was_promoted():
-            log.warning("no upstream is replicated, as this was promoted before: term=%d", self.store.term)
+            log.warning("upstreams ignored, this store was promoted before: term=%d", self.store.term)
             return None
         return replicator
 
@@ -105,10 +105,10 @@
         OwnershipHandlers(table, self.ownership, self.writes, access).add_routes(self.router)
         PolicyHandlers(self.policy_leases, policy_host).add_routes(self.router)
 
-    # --- start and end ---
+    # --- start and stop ---
 
     async def start(self, host: str, port: int) -> None:
-        """Ask the peers, then listen: one that was replaced learns it before it takes a write."""
+        """Query the peers, then listen, so that a replaced registry is fenced before it accepts a write."""
         await self.peer_terms.check_peers()
         await super().start(host, port)
         coroutines = [self.writes.run(), self._check_leases()]
@@ -121,63 +121,66 @@
             self.tasks.add(self.role.start([replicator.run(), copy_policies]))
 
     def _begin_term(self) -> None:
-        """Begin anew after a promotion; all watches end, as they are of another term."""
+        """Restart the services after a promotion, and close all watches, as they belong to another term."""
         self.lease_expiry.restart()
         self.ownership.restart()
         self.policy_leases.restart()
         self.broadcaster.close_all()
 
     async def _check_leases(self) -> None:
-        """Check all leases at intervals until cancelled; those of a replica are its upstream's to end."""
+        """Check all leases at intervals until cancelled, except on a replica, whose upstream checks them."""
         checks = (self.ownership.check, self.policy_leases.check, self.lease_expiry.check)
         await asyncio.gather(*[self._check_forever(check) for check in checks])
 
     async def _check_forever(self, check: Callable[[], object]) -> None:
-        def check_own() -> None:
-            """Check the leases, unless they are the upstream's."""
+        def check_if_primary() -> None:
+            """Check the leases unless this is a replica."""
             if not self.replicator:
                 check()
 
-        await repeat(check.__qualname__, CHECK_INTERVAL_S, check_own)
+        await repeat(check.__qualname__, CHECK_INTERVAL_S, check_if_primary)
 
     # --- state ---
 
     def now_s(self) -> float:
-        """Monotonic seconds."""
+        """Return monotonic seconds."""
         return self.clock()
 
     @property
     def replicator(self) -> Replicator | None:
-        """What replicates the upstream while this is a replica."""
+        """The replicator; None unless this registry is a replica."""
         return self.role.replicator
 
     @property
     def backups(self) -> Backups | None:
-        """Where backups are kept, if a folder was given."""
+        """The folder of backups; None if backups are not configured."""
         return self._backup_handlers.backups
 
     @backups.setter
     def backups(self, backups: Backups | None) -> None:
-        """Keep backups there from now on."""
+        """Set the folder of backups."""
         self._backup_handlers.backups = backups
 
     def store_name(self) -> str:
-        """The store whose generations these are; a replica's term is its upstream's."""
+        """Return the store's identity and term; a replica's term is that of its upstream."""
         replicator = self.replicator
         return f"{self.store.identity} {replicator.highest_term() if replicator else self.store.term}"
 
     # --- requests ---
 
     def health(self) -> Response:
-        """A replica tells its lag. Raises UnavailableError where no writes are taken."""
+        """Report the health, on a replica with its lag.
+
+        Raises UnavailableError if this registry is fenced or its last batch of writes failed.
+        """
         replicator = self.replicator
         if replicator:
             health = ReplicaHealthResponse(
                 "follows", replicator.connected, replicator.list_age_s(), replicator.upstream
             )
             return Response(200 if replicator.has_list else 503, health)
-        if self.peer_terms.fenced:
-            raise UnavailableError(self.peer_terms.fenced_text())
+        if self.peer_terms.replaced_by:
+            raise UnavailableError(self.peer_terms.fencing_reason())
         if self.writes.last_write_error:
             raise UnavailableError(str(self.writes.last_write_error))
         return super().health()
@@ -185,7 +188,7 @@
     # --- metrics ---
 
     def metrics_text(self) -> str:
-        """The metrics in Prometheus's text form."""
+        """Return the metrics in the Prometheus text format."""
         replicator = self.replicator
         return self.format_metrics(
             "registry",
@@ -197,7 +200,7 @@
                 **self.writes.metrics(),
                 **self.lease_expiry.metrics(),
                 "broken": int(self.writes.last_write_error is not None),
-                "fenced": int(self.peer_terms.fenced is not None),
+                "fenced": int(self.peer_terms.replaced_by is not None),
                 "lapses_total": self.peer_terms.stale_checks,
                 "following": int(replicator is not None),
                 "lag_seconds": replicator.list_age_s() if replicator else 0,
--- a/orchidhatch/control/registry/store.py
+++ b/orchidhatch/control/registry/store.py
@@ -1,7 +1,8 @@
 """The registry's store: the endpoint list, its generation and history, and the claims table.
 
 A write is acknowledged once its transaction is durable. Readers see a copy in memory, which changes only
-after the commit: `plan` gives what a batch of writes comes to, `commit` makes it durable, `publish` shows it.
+after the commit: `plan` computes the result of a batch of writes, `commit` makes it durable, and `publish`
+makes it visible to readers.
 """
 
 import sqlite3
@@ -13,7 +14,7 @@
 from orchidhatch.control.ownership.claims_table import ClaimsTable
 from orchidhatch.control.ownership.objects import Fence
 from orchidhatch.control.registry.batch import Batch, BatchPlan, Outcome, Write
-from orchidhatch.control.registry.checksums import DIGEST_MODULUS, digest_of
+from orchidhatch.control.registry.checksums import DIGEST_MODULUS, text_digest
 from orchidhatch.control.registry.endpoints import (
     Endpoint,
     decode_endpoint,
@@ -21,15 +22,15 @@
 from orchidhatch.control.registry.open_errors import typed_open_errors
 from orchidhatch.control.registry.store_file import LAST_CHANGE_KEY, ListHeader, StoreFile
 
-MAX_HISTORY = 10_000  # changes that a watch may resume over; past it the whole list is sent
+MAX_HISTORY = 10_000  # changes; a watch that is further behind is sent the whole list
 
 
 class Store:
     """An open store.
 
-    A new one is made only where that is asked for: a file that is gone or empty is no empty list. Its
-    generations go on from `first`, which is to be above all that any store before it has given, as a watch
-    would else resume over another list's changes.
+    A new store is created only with `create`: a missing or empty file is not taken for an empty list. The
+    generations of a new store start at `first`. It must be above the generations of all earlier stores,
+    otherwise a watch could resume with the changes of another list.
     """
 
     def __init__(
@@ -40,15 +41,15 @@
         max_history: int = MAX_HISTORY,
         term: int = 1,
     ) -> None:
-        """Open and check it. Raises StoreError, or CorruptStoreError where the file is damaged."""
+        """Open and check the store. Raises StoreError, or CorruptStoreError if the file is damaged."""
         self.path = path
         self.entries: dict[str, Endpoint] = {}
-        self.history: dict[int, Endpoint] = {}  # by generation; a removed one is DELETED there
+        self.history: dict[int, Endpoint] = {}  # by generation; a removal is a DELETED endpoint
         self.endpoints_sum = 0
         self.claims_table = ClaimsTable()
         self._max_history = max_history
         if not create and not (path.is_file() and path.stat().st_size):
-            raise StoreError(f"there is no store at {path.name}; make a new one, or rebuild it")
+            raise StoreError(f"there is no store at {path.name}; create a new one, or rebuild it")
         self._open(create, first, term)
 
     def close(self) -> None:
@@ -57,32 +58,32 @@
 
     @property
     def db(self) -> sqlite3.Connection:
-        """The database, for tables of other modules; to be used in turn with the store's own writes."""
+        """The database, for tables of other modules; must not be used while the store writes."""
         return self._file.db
 
     @property
     def identity(self) -> str:
-        """A random name of this store, the same for as long as the file exists."""
+        """A random identifier, generated when the file is created."""
         return self._header.identity
 
     @property
     def term(self) -> int:
-        """Rises with each promotion."""
+        """The term, which increases with each promotion."""
         return self._header.term
 
     @term.setter
     def term(self, term: int) -> None:
-        """Show another term, in memory only: for tests."""
+        """Set the term in memory only, for tests."""
         self._header = self._header._replace(term=term)
 
     @property
     def first(self) -> int:
-        """The generation that this store began with in this term."""
+        """The generation that this store started with in this term."""
         return self._header.first
 
     @property
     def generation(self) -> int:
-        """Rises with each change of the list."""
+        """The generation, which increases with each change of the endpoint list."""
         return self._header.generation
 
     # --- opening ---
@@ -104,25 +105,25 @@
         for id_, text in self._file.read_endpoints():
             endpoint = decode_endpoint(text)
             if endpoint.id != id_:
-                raise ValueError(f"entry {id_!r:.80} is stored under the name of {endpoint.id!r:.80}")
+                raise ValueError(f"the row of endpoint {id_!r:.80} contains endpoint {endpoint.id!r:.80}")
             self.entries[id_] = endpoint
-            self.endpoints_sum = (self.endpoints_sum + digest_of(text)) % DIGEST_MODULUS
+            self.endpoints_sum = (self.endpoints_sum + text_digest(text)) % DIGEST_MODULUS
         if self._header.checksum(self.endpoints_sum) != checksum:
-            raise ValueError("the entries do not fit their digest")
+            raise ValueError("the endpoints do not match their digest")
 
     def _load_history(self) -> None:
         expected = None
         for generation, text in self._file.read_history():
             if expected not in (None, generation):
-                raise ValueError(f"change {generation} of the history does not fit its place")
+                raise ValueError(f"change {generation} of the history is out of sequence")
             self.history[generation] = decode_endpoint(text)
             expected = generation + 1
         is_unchanged = self.generation == self.first
         if expected not in (None, self.generation + 1) or (expected is None) != is_unchanged:
-            raise ValueError("the history does not end at the generation")
+            raise ValueError("the history does not end at the store's generation")
 
     def load_claims(self) -> None:
-        """Read the claims table; a store of the first version has none."""
+        """Load the claims table; files of the first version have none."""
         for kind, name, text in self._file.read_objects():
             if kind == LAST_CHANGE_KEY:
                 self.claims_table.last_change = int(text)
@@ -132,21 +133,22 @@
     # --- reads ---
 
     def changes(self, after: int) -> list[Endpoint] | None:
-        """What changed after a generation, each endpoint once, as it is now; None where the history does not
-        reach back so far.
+        """Return the latest change of each endpoint that changed after a generation.
+
+        None if the history does not reach back to that generation.
         """
         oldest = self.generation - len(self.history)
         if not oldest <= after <= self.generation:
             return None
-        last = {self.history[at].id: at for at in range(after + 1, self.generation + 1)}
-        return [self.history[at] for at in sorted(last.values())]
+        latest = {self.history[number].id: number for number in range(after + 1, self.generation + 1)}
+        return [self.history[number] for number in sorted(latest.values())]
 
     # --- writes ---
 
     def apply(self, writes: Sequence[Write]) -> list[Outcome]:
-        """Carry out a batch in order, in one transaction; the outcome of each write.
+        """Carry out writes in order, in one transaction, and return the outcome of each.
 
-        Raises StoreError where the file cannot be written; then none of them holds.
+        Raises StoreError if the file cannot be written; none of the writes takes effect then.
         """
         batch = self.plan(writes)
         self.commit(batch)
@@ -154,12 +156,15 @@
         return batch.outcomes
 
     def plan(self, writes: Sequence[Write]) -> Batch:
-        """What a batch comes to; nothing is changed yet. The next is planned once this one is published."""
+        """Compute the result of a batch without changing anything.
+
+        The next batch may be planned only after this one has been published.
+        """
         transaction = ClaimsTransaction(self.claims_table, self.term)
         return BatchPlan(self.generation, self.endpoints_sum, self.entries, transaction).plan(writes)
 
     def commit(self, batch: Batch) -> None:
-        """Make a batch durable. Blocks, and may be called in another thread. Raises StoreError."""
+        """Make a batch durable. Blocks; may be called in another thread. Raises StoreError."""
         if not batch.changed and not batch.claims.changed:
             return
         header = self._header._replace(generation=batch.generation)
@@ -169,7 +174,7 @@
             self._file.write_objects(batch.claims.changed, batch.claims.last_change)
 
     def publish(self, batch: Batch) -> None:
-        """Show readers a batch that is durable."""
+        """Make a durable batch visible to readers."""
         self._header = self._header._replace(generation=batch.generation)
         self.endpoints_sum = batch.endpoints_sum
         self.claims_table.apply(batch.claims.changed, batch.claims.last_change)
@@ -183,9 +188,9 @@
             del self.history[generation]
 
     def rewrite(self) -> None:
-        """Write the whole list anew, durable on return; watches resume in memory as before.
+        """Rewrite the whole endpoint list, durably; watches still resume from the history in memory.
 
-        For a file that lacks changes that were published. Blocks. Raises StoreError.
+        For a file that lacks published changes. Blocks. Raises StoreError.
         """
         header = self._header._replace(first=self.generation)
         with self._file.transaction():
@@ -195,23 +200,23 @@
         self._header = header
 
     def skip_generations(self, first: int) -> None:
-        """Go on from `first` at least, in memory: no watch resumes over what came before.
+        """Advance the generation in memory to `first` or higher; watches cannot resume from earlier ones.
 
-        For changes that are shown and not durable: another process that goes on from the file must not give
-        their generations to other changes.
+        For published changes that are not durable: a later process that continues from the file must not
+        assign their generations to other changes.
         """
         generation = max(self.generation + 1, first)
         self._header = self._header._replace(first=generation, generation=generation)
         self.history.clear()
 
     def begin_term(self, term: int, first: int) -> None:
-        """Begin a later term, durable on return: generations go on from `first` at least.
+        """Begin a later term, durably, with the generation at `first` or higher.
 
-        No watch resumes over it. Raises StoreError where the term is not above the store's, or where the file
-        cannot be written.
+        Watches cannot resume from an earlier term. Raises StoreError if the term is not above the store's, or
+        if the file cannot be written.
         """
         if term <= self.term:
-            raise StoreError(f"term {term} is not above {self.term}")
+            raise StoreError(f"term {term} is not above the store's term {self.term}")
         generation = max(self.generation + 1, first)
         header = ListHeader(self.identity, term, generation, generation)
         with self._file.transaction():
@@ -222,12 +227,12 @@
 
 
 def check_fence(store: Store, fence: Fence | None) -> None:
-    """Raise ConflictError unless the claim is current. For what is not a write of its own."""
+    """Raise ConflictError unless the fence is current. For operations that are not writes to the store."""
     ClaimsTransaction(store.claims_table, store.term).check(fence)
 
 
 def _oldest_generations(history: dict[int, Endpoint], last: int) -> Iterator[int]:
-    """The generations up to this one; the oldest stand first."""
+    """Yield the generations up to `last`; the history is in ascending order."""
     for generation in history:
         if generation > last:
             return
--- a/orchidhatch/control/registry/store_file.py
+++ b/orchidhatch/control/registry/store_file.py
@@ -1,7 +1,7 @@
-"""The SQLite file of a store: its tables, and what is read from and written to them.
+"""The SQLite file of a store: its tables, and the statements that read and write them.
 
-One process at a time has the file, by a lock that ends with the process. Everything is checked when it is
-opened, and a file that is not sound is not used. The tables' names are older than the terms of the code.
+One process at a time uses the file; its lock is released when the process ends. The whole file is checked
+when it is opened, and a damaged file is not used. The table names are older than the terms used in the code.
 """
 
 import secrets
@@ -20,7 +20,7 @@
 
 APPLICATION_ID = 0x6F726368
 FORMAT_VERSION = 1
-LAST_CHANGE_KEY = "last"  # the row with the count of changes, in place of an object's kind and name
+LAST_CHANGE_KEY = "last"  # kind and name of the row that has the number of the last change
 SQLITE_SUFFIXES = ("", "-wal", "-shm")
 
 SCHEMA = f"""
@@ -33,7 +33,7 @@
 CREATE TABLE entries (id TEXT PRIMARY KEY, record TEXT NOT NULL) STRICT, WITHOUT ROWID;
 CREATE TABLE history (generation INTEGER PRIMARY KEY, record TEXT NOT NULL, digest TEXT NOT NULL) STRICT;
 """
-# A store of the first version has none.
+# Files of the first version lack this table.
 CLAIMS_SCHEMA = (
     "CREATE TABLE IF NOT EXISTS book (kind TEXT NOT NULL, name TEXT NOT NULL, "
     "record TEXT NOT NULL, digest TEXT NOT NULL, PRIMARY KEY (kind, name)) "
@@ -42,7 +42,7 @@
 
 
 class ListHeader(NamedTuple):
-    """What holds for the whole list. Generations go on from `first`."""
+    """The properties of the whole endpoint list. `first` is the generation that its term started with."""
 
     identity: str
     term: int
@@ -50,12 +50,12 @@
     generation: int
 
     def checksum(self, endpoints_sum: int) -> str:
-        """The checksum over this and the sum of the endpoints' digests."""
+        """Return the checksum of this header and the sum of the endpoints' digests."""
         return list_checksum(*self, endpoints_sum)
 
 
 class StoreFile:
-    """The open file. One thread at a time may use it, but not always the same."""
+    """The open file. Only one thread at a time may use it, not necessarily always the same."""
 
     def __init__(self, path: Path) -> None:
         """Open the database; `loading` checks it."""
@@ -63,17 +63,17 @@
         self.db = sqlite3.connect(path, isolation_level=None, timeout=0.0, check_same_thread=False)
 
     def close(self) -> None:
-        """Close the database, which writes its log back."""
+        """Close the database, which checkpoints its write-ahead log."""
         self.db.close()
 
     # --- opening ---
 
     @contextmanager
     def loading(self, create: bool, new_header: Callable[[str], ListHeader]) -> Iterator[None]:
-        """Lock the file, make a new store in an empty one if asked to, and check that the file is sound.
+        """Lock the file, create a new store if `create` is set and the file is empty, and check the file.
 
-        What the block reads is of one transaction. Raises StoreError, or CorruptStoreError where the file is
-        damaged, also for a ValueError in the block.
+        The block reads within one transaction. Raises StoreError, or CorruptStoreError if the file is
+        damaged, which includes a ValueError that the block raises.
         """
         try:
             with typed_open_errors(self.path.name):
@@ -87,14 +87,14 @@
                 self.db.execute("ROLLBACK")
 
     def _lock(self) -> None:
-        """Lock the file for as long as it is open, and begin the transaction that it is loaded in."""
+        """Lock the file until it is closed, and begin the transaction in which it is loaded."""
         self.db.execute("PRAGMA locking_mode = EXCLUSIVE")
         self.db.execute("PRAGMA journal_mode = WAL")
         self.db.execute("PRAGMA synchronous = FULL")
         self.db.execute("BEGIN IMMEDIATE")
 
     def _create(self, header: ListHeader) -> None:
-        """All of it or nothing: one that was cut short is begun anew."""
+        """Create the tables in one transaction, so that an interrupted creation leaves the file empty."""
         for statement in filter(None, map(str.strip, SCHEMA.split(";"))):
             self.db.execute(statement)
         self.db.execute("INSERT INTO meta VALUES (1, ?, ?, ?, ?, ?)", (*header, header.checksum(0)))
@@ -104,39 +104,42 @@
     def _check_integrity(self) -> None:
         version = self.db.execute("PRAGMA user_version").fetchone()[0]
         if version != FORMAT_VERSION:
-            raise CorruptStoreError(f"{self.path.name} is of format {version}, not {FORMAT_VERSION}")
-        [(found,), *more] = self.db.execute("PRAGMA integrity_check(1)").fetchall()
-        if found != "ok" or more:
-            raise CorruptStoreError(f"{self.path.name} is damaged: {' '.join(str(found).split())}")
+            raise CorruptStoreError(f"{self.path.name} has format version {version}, not {FORMAT_VERSION}")
+        [(message,), *more_messages] = self.db.execute("PRAGMA integrity_check(1)").fetchall()
+        if message != "ok" or more_messages:
+            raise CorruptStoreError(f"{self.path.name} is damaged: {' '.join(str(message).split())}")
 
-    # --- reads, while loading ---
+    # --- reads while loading ---
 
     def read_header(self) -> tuple[ListHeader, str]:
-        """The header and the checksum of the endpoint list."""
+        """Read the header and the checksum of the endpoint list."""
         query = "SELECT identity, term, first, generation, digest FROM meta"
         [(*header, checksum)] = self.db.execute(query).fetchall()
         return ListHeader(*header), checksum
 
     def read_endpoints(self) -> Iterable[tuple[str, str]]:
-        """Id and stored form of each endpoint."""
+        """Yield the id and the stored form of each endpoint."""
         return self.db.execute("SELECT id, record FROM entries")
 
     def read_history(self) -> Iterator[tuple[int, str]]:
-        """Generation and stored form of each change, in order. Raises ValueError over a checksum."""
+        """Yield the generation and stored form of each change, in order.
+
+        Raises ValueError if a checksum does not match.
+        """
         for generation, text, checksum in self.db.execute("SELECT * FROM history ORDER BY generation"):
             if checksum != record_checksum(generation, text):
-                raise ValueError(f"change {generation} of the history does not fit its digest")
+                raise ValueError(f"change {generation} of the history does not match its digest")
             yield generation, text
 
     def read_objects(self) -> Iterator[tuple[str, str, str]]:
-        """Kind, name and stored form of each row of the claims table, and then the table is there for good.
+        """Yield kind, name and stored form of each row of the claims table, which is created if missing.
 
-        Raises ValueError over a checksum.
+        The new table is committed after the last row. Raises ValueError if a checksum does not match.
         """
         self.db.execute(CLAIMS_SCHEMA)
         for kind, name, text, checksum in self.db.execute("SELECT * FROM book"):
             if checksum != record_checksum(kind, name, text):
-                raise ValueError(f"{kind} {name!r:.80} does not fit its digest")
+                raise ValueError(f"{kind} {name!r:.80} does not match its digest")
             yield kind, name, text
         if self.db.in_transaction:
             self.db.execute("COMMIT")
@@ -145,7 +148,7 @@
 
     @contextmanager
     def transaction(self) -> Iterator[None]:
-        """Durable when the block has ended, or nothing of it. Raises StoreError for errors of the disk."""
+        """Commit the block's writes durably, or none of them. Raises StoreError if SQLite fails."""
         try:
             self.db.execute("BEGIN IMMEDIATE")
             yield
@@ -155,8 +158,8 @@
                 self.db.execute("ROLLBACK")
             raise StoreError(f"cannot write {self.path.name}: {error}") from error
 
-    def write_endpoints(self, changed: Sequence[Endpoint], forget_up_to: int) -> None:
-        """Write changed endpoints and the history of their changes, and drop the history's oldest part."""
+    def write_endpoints(self, changed: Sequence[Endpoint], last_dropped_generation: int) -> None:
+        """Write changed endpoints and their history; delete the history up to and including a generation."""
         for endpoint in changed:
             text = encode_endpoint(endpoint)
             if endpoint.is_deleted:
@@ -165,10 +168,10 @@
                 self.db.execute("INSERT OR REPLACE INTO entries VALUES (?, ?)", (endpoint.id, text))
             row = (endpoint.version, text, record_checksum(endpoint.version, text))
             self.db.execute("INSERT INTO history VALUES (?, ?, ?)", row)
-        self.db.execute("DELETE FROM history WHERE generation <= ?", (forget_up_to,))
+        self.db.execute("DELETE FROM history WHERE generation <= ?", (last_dropped_generation,))
 
     def replace_endpoints(self, endpoints: Sequence[Endpoint]) -> None:
-        """Write these endpoints in place of all that are there."""
+        """Replace all endpoints."""
         self.db.execute("DELETE FROM entries")
         rows = [(endpoint.id, encode_endpoint(endpoint)) for endpoint in endpoints]
         self.db.executemany("INSERT INTO entries VALUES (?, ?)", rows)
@@ -181,11 +184,11 @@
         )
 
     def clear_history(self) -> None:
-        """Drop the whole history."""
+        """Delete the whole history."""
         self.db.execute("DELETE FROM history")
 
     def write_objects(self, changes: ObjectChanges, last_change: int) -> None:
-        """Write the changed rows of the claims table, and the count of its changes."""
+        """Write the changed rows of the claims table, and the number of the last change."""
         if not changes:
             return
         for (kind, name), owned in changes.items():
@@ -201,12 +204,12 @@
 
 
 def put_aside(path: Path) -> Path:
-    """Keep a damaged file, with its log, under a name that is free; that name."""
+    """Rename a damaged file, with its write-ahead log, to an unused name, and return that name."""
     number = 0
-    while (aside := path.with_name(f"{path.name}.damaged{number or ''}")).exists():
+    while (new_path := path.with_name(f"{path.name}.damaged{number or ''}")).exists():
         number += 1
     for suffix in SQLITE_SUFFIXES:
         file = Path(f"{path}{suffix}")
         if file.exists():
-            file.replace(f"{aside}{suffix}")
-    return aside
+            file.replace(f"{new_path}{suffix}")
+    return new_path
--- a/orchidhatch/control/registry/term_handlers.py
+++ b/orchidhatch/control/registry/term_handlers.py
@@ -1,4 +1,4 @@
-"""The requests about a registry's term."""
+"""Request handlers for a registry's term."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -16,18 +16,18 @@
 
 
 class TermHandlers:
-    """Requests about the registry's term."""
+    """The request handlers for the registry's term and its promotion."""
 
     def __init__(
-        self, peer_terms: PeerTermGuard, promotion: Promotion, turn: asyncio.Lock, start_task: StartTask
+        self, peer_terms: PeerTermGuard, promotion: Promotion, store_lock: asyncio.Lock, start_task: StartTask
     ) -> None:
         self._peer_terms = peer_terms
         self._promotion = promotion
-        self._turn = turn
+        self._store_lock = store_lock
         self._start_task = start_task
 
     def add_routes(self, router: Router) -> None:
-        """Add all routes of these handlers."""
+        """Register the routes of these handlers."""
         router.add("GET", "/term", self._get_term)
         router.add("POST", "/promote", self._promote)
 
@@ -41,7 +41,7 @@
     async def _answer_promotion(self, connection: Connection, is_forced: bool) -> None:
         upstream_may_run = not is_forced and await self._promotion.upstream_may_run()
         try:
-            async with self._turn:  # nothing that was replicated is half way to the disk
+            async with self._store_lock:  # no replicated batch is in the middle of its commit
                 response = self._promotion.promote(is_forced, upstream_may_run)
         except ControlError as error:
             connection.fail(error)
--- a/orchidhatch/control/registry/upstream_position.py
+++ b/orchidhatch/control/registry/upstream_position.py
@@ -1,4 +1,4 @@
-"""How far a replica has followed its upstream, kept on disk so that it never goes back over a restart."""
+"""A replica's position in its upstream's list, kept on disk so that a restart does not lose it."""
 
 import sqlite3
 from dataclasses import dataclass
@@ -6,16 +6,16 @@
 from orchidhatch.control.http_response import term_of
 
 TABLE_NAME = "heard"
-"""Older than the terms of the code; the table is there from the first start that follows an upstream."""
+"""A name older than the terms of the code. The table is created when a store first follows an upstream."""
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamPosition:
-    """The state of the endpoint list that was received last, and whose it was.
+    """The state and origin of the endpoint list that was received last.
 
-    `store_name` is the identity and term of the upstream's store, "" before any list was received.
-    `confirmed_at_ms` is when the list was last known to hold, in Unix milliseconds, 0 if it never was. It is
-    wall-clock time as that goes on over a restart; it is displayed and decides nothing.
+    `store_name` is the identity and term of the upstream's store, "" before the first list. `confirmed_at_ms`
+    is when the list was last confirmed as current, in Unix milliseconds; 0 means never. It is wall-clock time
+    so that it stays meaningful after a restart, and it is only displayed: no decision depends on it.
     """
 
     store_name: str = ""
@@ -24,9 +24,9 @@
 
 
 def is_unpromoted_replica(database: sqlite3.Connection, term: int) -> bool:
-    """Whether the store in this file once followed an upstream, and has begun no term of its own since.
+    """Return whether the store in this file has followed an upstream and begun no term of its own since.
 
-    `term` is the store's. A replica that never received a list is one too.
+    `term` is the store's term. This includes a replica that has never received a list.
     """
     query = f"SELECT count(*) FROM sqlite_master WHERE type = 'table' AND name = '{TABLE_NAME}'"
     if not database.execute(query).fetchone()[0]:
@@ -36,7 +36,7 @@
 
 
 class UpstreamPositionTable:
-    """The position's row, in the same SQLite file as the replica's store."""
+    """The table of the position, in the SQLite file of the replica's store."""
 
     def __init__(self, database: sqlite3.Connection) -> None:
         self._database = database
@@ -46,12 +46,12 @@
         )
 
     def load(self) -> UpstreamPosition:
-        """The position that was saved last, or the initial one."""
+        """Return the saved position, or the initial one if there is none."""
         row = self._database.execute(f"SELECT source, generation, at_ms FROM {TABLE_NAME}").fetchone()
         return UpstreamPosition(*row) if row else UpstreamPosition()
 
     def save(self, position: UpstreamPosition) -> None:
-        """Write the position; this waits for the disk. Raises sqlite3.Error."""
+        """Save the position; blocks on the disk. Raises sqlite3.Error."""
         self._database.execute(
             f"INSERT OR REPLACE INTO {TABLE_NAME} VALUES (1, ?, ?, ?)",
             (position.store_name, position.generation, position.confirmed_at_ms),
--- a/orchidhatch/control/registry/watch_client.py
+++ b/orchidhatch/control/registry/watch_client.py
@@ -1,4 +1,4 @@
-"""The client side of a watch: an HTTP response without an end, one line for each watch event."""
+"""The client side of a watch: an unending HTTP response with one line for each watch event."""
 
 import asyncio
 import json
@@ -16,11 +16,11 @@
 CONNECT_TIMEOUT_S = 1.0
 WATCH_TIMEOUT_S = 5.0  # without any data; a registry sends an empty line every 2 s
 READ_SIZE_BYTES = 1 << 16
-MAX_LINE_BYTES = 64 << 20  # the endpoint list with as many endpoints as may be, each as long as may be
+MAX_LINE_BYTES = 64 << 20  # an endpoint list with the maximum number of endpoints, each of maximum length
 
 
 class WatchEvent(msgspec.Struct):
-    """The whole endpoint list, if `reset`, or what changed since the event before; as it is on the wire."""
+    """An event as on the wire: if `reset`, the whole endpoint list, else the changes since the last event."""
 
     generation: int
     reset: bool
@@ -37,10 +37,10 @@
         self._buffer = bytearray()
 
     async def open_watch(self, address: Address, target: str, store_name: str) -> str:
-        """Request a watch and return the name of the store whose list it gives.
+        """Request a watch and return the name of the store whose list is sent.
 
         `store_name` names the store that the generation in `target` belongs to, "" for none. Raises
-        InvalidRequestError where the watch is refused, and the errors of `lines`.
+        InvalidRequestError if the watch is refused, and the errors of `lines`.
         """
         headers = [("Host", format_address(address))]
         if store_name:
@@ -52,14 +52,14 @@
             check_not_ended(response)
             response = await self._next_event()
         if response.status_code != 200:
-            raise InvalidRequestError(f"status {response.status_code}")
+            raise InvalidRequestError(f"the watch was refused with status {response.status_code}")
         return dict(response.headers).get(STORE_HEADER.lower().encode(), b"").decode(errors="replace")
 
     async def lines(self) -> AsyncIterator[bytes]:
-        """Each line without its end; empty ones only show that the service is alive.
+        """Yield each line without its line ending; an empty line is a heartbeat.
 
-        Raises InvalidRequestError where the watch ends or a line is too long, TimeoutError after
-        WATCH_TIMEOUT_S without data, OSError or h11.ProtocolError where the connection fails.
+        Raises InvalidRequestError if the watch ends or a line is too long, TimeoutError after WATCH_TIMEOUT_S
+        without data, and OSError or h11.ProtocolError if the connection fails.
         """
         while True:
             event = await self._next_event()
@@ -71,9 +71,9 @@
     def _split_lines(self, data: bytes) -> Iterator[bytes]:
         self._buffer += data
         if len(self._buffer) > MAX_LINE_BYTES:
-            raise InvalidRequestError("a line without an end")
-        *lines, rest = self._buffer.split(b"\n")
-        self._buffer = bytearray(rest)
+            raise InvalidRequestError("a line of the watch is too long")
+        *lines, incomplete_line = self._buffer.split(b"\n")
+        self._buffer = bytearray(incomplete_line)
         for line in lines:
             yield bytes(line)
 
@@ -89,7 +89,7 @@
 
 @asynccontextmanager
 async def connect_watch(address: Address) -> AsyncIterator[WatchConnection]:
-    """A connection that is aborted at the end of the block. Raises OSError or TimeoutError."""
+    """Open a connection, which is aborted at the end of the block. Raises OSError or TimeoutError."""
     async with asyncio.timeout(CONNECT_TIMEOUT_S):
         reader, writer = await asyncio.open_connection(*address)
     try:
@@ -99,15 +99,15 @@
 
 
 def check_not_ended(event: h11.Event) -> None:
-    """Raise InvalidRequestError where the event is the end of the watch."""
+    """Raise InvalidRequestError if the event is the end of the watch."""
     if isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
         raise InvalidRequestError("the watch ended")
 
 
 def decode_watch_event(line: bytes) -> WatchEvent:
-    """The event on a line of a watch. Raises InvalidRequestError.
+    """Decode a line of a watch. Raises InvalidRequestError if it is malformed.
 
-    The endpoints in it are left as they are, so that a malformed one does not make the others fail.
+    The endpoints are not decoded here, so that a malformed one does not invalidate the others.
     """
     try:
         return msgspec.convert(json.loads(line), WatchEvent)
--- a/orchidhatch/control/registry/write_access.py
+++ b/orchidhatch/control/registry/write_access.py
@@ -1,4 +1,4 @@
-"""Whether this registry may take writes and grant leases."""
+"""Checks whether this registry may accept writes and renew leases."""
 
 from orchidhatch.control.registry.peer_terms import PeerTermGuard
 from orchidhatch.control.registry.replica_role import ReplicaRole
@@ -12,11 +12,11 @@
         self._peer_terms = peer_terms
 
     def check_writable(self) -> None:
-        """Raise ConflictError where this registry is a replica, or was replaced."""
+        """Raise ConflictError if this registry is a replica or was replaced."""
         self._role.check_is_primary()
         self._peer_terms.check_not_fenced()
 
     def check_may_renew(self) -> None:
-        """Raise ConflictError as `check_writable`, UnavailableError while peers must be asked first."""
+        """Raise ConflictError like `check_writable`, UnavailableError if the last peer check is too old."""
         self.check_writable()
         self._peer_terms.check_is_current()
--- a/orchidhatch/control/registry/write_pipeline.py
+++ b/orchidhatch/control/registry/write_pipeline.py
@@ -1,7 +1,8 @@
-"""The way of a write: queue, group commit, acknowledgement.
+"""The write pipeline: queue, group commit, acknowledgement.
 
-What is queued while one batch is being written to disk is the next batch. A write is acknowledged once it is
-durable and the peers' terms are known to allow it; watches are sent each change after that.
+Writes that are queued while a batch is written to disk form the next batch. A write is acknowledged once it
+is durable and a recent check of the peers' terms has shown that this registry was not replaced. Watches are
+notified after that.
 """
 
 import asyncio
@@ -22,22 +23,22 @@
 log = logging.getLogger("orchidhatch.registry")
 
 MAX_QUEUED_WRITES = 1_000
-MAX_BATCH_WRITES = 500  # that go to disk together
+MAX_BATCH_WRITES = 500  # writes in one transaction
 
 
 class QueuedWrite(NamedTuple):
-    """A write, and the connection that waits for its outcome; None for a write of the registry itself."""
+    """A write and the connection that waits for its outcome; None for a write of the registry itself."""
 
     write: Write
     connection: Connection | None
 
     @property
     def is_awaited(self) -> bool:
-        """Whether the client still waits for it."""
+        """Whether the write is still to be carried out: its client, if any, has not disconnected."""
         return self.connection is None or not self.connection.is_closing
 
     def acknowledge(self, outcome: Outcome | ControlError) -> None:
-        """Answer the client, if there is one."""
+        """Send the outcome to the client, if there is one."""
         if self.connection is None:
             return
         if isinstance(outcome, ControlError):
@@ -47,19 +48,19 @@
 
 
 class WriteObserver(Protocol):
-    """A service that keeps state about what was written. It is notified before clients are answered."""
+    """A service that derives state from writes. It is notified before the clients are answered."""
 
     def batch_written(self, writes: Sequence[QueuedWrite], outcomes: Sequence[Outcome]) -> None:
-        """These writes are durable, or were rejected: an outcome that is a ConflictError."""
+        """Handle a durable batch; a write whose outcome is a ConflictError was rejected."""
 
     def batch_failed(self, writes: Sequence[QueuedWrite]) -> None:
-        """None of these writes is durable."""
+        """Handle a batch of which no write was made durable."""
 
 
 class WritePipeline:
-    """The queue of writes and its writer.
+    """The queue of writes and the loop that writes them in batches.
 
-    `last_write_error` is why the last batch could not be written, None when it was.
+    `last_write_error` is the error of the last batch; None if it was written.
     """
 
     def __init__(
@@ -67,12 +68,12 @@
         store: Store,
         access: WriteAccess,
         peer_terms: PeerTermGuard,
-        run_in_turn: Callable[[Callable[[], None]], Awaitable[None]],
+        run_serialized: Callable[[Callable[[], None]], Awaitable[None]],
         broadcast: Callable[[], None],
     ) -> None:
         self.observers: list[WriteObserver] = []
         self.last_write_error: StoreError | None = None
-        self.rejected_writes = 0  # over the queue's limit, or because their clients had gone
+        self.rejected_writes = 0  # the queue was full, or the client had disconnected
         self.batches = 0
         self.writes = 0
         self.commit_s = 0.0
@@ -80,31 +81,32 @@
         self._store = store
         self._access = access
         self._peer_terms = peer_terms
-        self._run_in_turn = run_in_turn
+        self._run_serialized = run_serialized
         self._broadcast = broadcast
         self._queue: deque[QueuedWrite] = deque()
-        self._is_queued = asyncio.Event()
+        self._has_queued_writes = asyncio.Event()
 
     @property
     def queued(self) -> int:
-        """The number of writes that wait."""
+        """The number of queued writes."""
         return len(self._queue)
 
     # --- queue ---
 
     def enqueue(self, write: Write, connection: Connection | None) -> None:
-        """Queue a write; the connection is answered with its outcome. Raises ConflictError where no writes
-        are taken, UnavailableError where too many wait.
+        """Queue a write, whose outcome is sent to the connection.
+
+        Raises ConflictError if this registry accepts no writes, UnavailableError if the queue is full.
         """
         self._access.check_writable()
         if len(self._queue) >= MAX_QUEUED_WRITES:
             self.rejected_writes += 1
             raise UnavailableError("too many writes wait")
         self._queue.append(QueuedWrite(write, connection))
-        self._is_queued.set()
+        self._has_queued_writes.set()
 
     def enqueue_internal(self, write: Write) -> bool:
-        """Queue a write of the registry itself; whether it is queued."""
+        """Queue a write of the registry itself and return whether it was queued."""
         try:
             self.enqueue(write, None)
         except (ConflictError, UnavailableError):
@@ -116,23 +118,23 @@
     async def run(self) -> None:
         """Write one batch after another until cancelled."""
         while True:
-            await self._is_queued.wait()
-            self._is_queued.clear()
+            await self._has_queued_writes.wait()
+            self._has_queued_writes.clear()
             while self._queue:
                 queued_writes = self._next_batch()
                 if queued_writes:
                     await self._process(queued_writes)
 
     def _next_batch(self) -> list[QueuedWrite]:
-        """The next writes, without those whose clients have gone: they are not carried out."""
+        """Remove the next writes from the queue; those whose clients have disconnected are dropped."""
         count = min(MAX_BATCH_WRITES, len(self._queue))
-        taken = [self._queue.popleft() for _ in range(count)]
-        queued_writes = [queued for queued in taken if queued.is_awaited]
-        self.rejected_writes += len(taken) - len(queued_writes)
+        dequeued = [self._queue.popleft() for _ in range(count)]
+        queued_writes = [queued for queued in dequeued if queued.is_awaited]
+        self.rejected_writes += len(dequeued) - len(queued_writes)
         return queued_writes
 
     async def _process(self, queued_writes: Sequence[QueuedWrite]) -> None:
-        """Write a batch; an unexpected error fails its writes, whose outcome is unknown, and no others."""
+        """Write a batch. An unexpected error fails only this batch, whose outcome is then unknown."""
         try:
             await self._write_if_current(queued_writes)
         except Exception as error:
@@ -148,7 +150,7 @@
                 observer.batch_failed(queued_writes)
 
     async def write_batch(self, queued_writes: Sequence[QueuedWrite]) -> None:
-        """Make a batch durable, tell the observers, then the clients, then the watches."""
+        """Make a batch durable, then notify the observers, the clients and the watches, in this order."""
         batch = self._store.plan([queued.write for queued in queued_writes])
         if not await self._commit(batch, queued_writes):
             return
@@ -156,7 +158,7 @@
         self._store.publish(batch)
         for observer in self.observers:
             observer.batch_written(queued_writes, batch.outcomes)
-        # It may have stood still on the way to the disk.
+        # The process may have been paused during the commit, and another registry promoted meanwhile.
         if await self._peer_terms.ensure_current():
             for queued, outcome in zip(queued_writes, batch.outcomes, strict=True):
                 queued.acknowledge(outcome)
@@ -166,10 +168,10 @@
             self._broadcast()
 
     async def _commit(self, batch: Batch, queued_writes: Sequence[QueuedWrite]) -> bool:
-        """Whether the batch is durable; otherwise all were answered."""
+        """Commit the batch and return whether it is durable; if not, all clients have been answered."""
         started_s = time.monotonic()
         try:
-            await self._run_in_turn(lambda: self._store.commit(batch))
+            await self._run_serialized(lambda: self._store.commit(batch))
         except StoreError as error:
             self._fail(error, queued_writes)
             return False
@@ -183,7 +185,7 @@
 
     def _fail(self, error: StoreError, queued_writes: Sequence[QueuedWrite]) -> None:
         if self.last_write_error is None:
-            log.error("write failed, reads go on: reason=%s", error)
+            log.error("write failed, reads continue: reason=%s", error)
         self.last_write_error = error
         for queued in queued_writes:
             queued.acknowledge(error)
@@ -192,10 +194,10 @@
 
     def _reject_as_fenced(self, queued_writes: Sequence[QueuedWrite]) -> None:
         for queued in queued_writes:
-            queued.acknowledge(ConflictError(self._peer_terms.fenced_text()))
+            queued.acknowledge(ConflictError(self._peer_terms.fencing_reason()))
 
     def metrics(self) -> dict[str, float]:
-        """Metrics by name, without the registry's prefix."""
+        """Return the metrics by name, without the registry's prefix."""
         return {
             "writes_waiting": self.queued,
             "writes_total": self.writes,
@@ -204,19 +206,19 @@
             "longest_commit_seconds": round(self.longest_commit_s, 6),
         }
 
-    # --- writes beside the queue ---
+    # --- writes that bypass the queue ---
 
     async def write_aside(self, writes: Sequence[Write]) -> None:
-        """Write what a replica keeps for itself, beside what it replicates. Raises StoreError."""
+        """Write a replica's own data, which is not part of the replicated list. Raises StoreError."""
         if not writes:
             return
         batches: list[Batch] = []
 
         def plan_and_commit() -> None:
-            """Plan in its turn, as nothing else is planned meanwhile."""
+            """Plan and commit while no other batch can be planned."""
             batch = self._store.plan(writes)
             self._store.commit(batch)
             batches.append(batch)
 
-        await self._run_in_turn(plan_and_commit)
+        await self._run_serialized(plan_and_commit)
         self._store.publish(batches[0])
--- a/tests/control/controller/test_backup.py
+++ b/tests/control/controller/test_backup.py
@@ -21,7 +21,7 @@
     folder = tmp_path / "copies"
     async with running_registry() as registry:
         address = address_of(registry)
-        assert (await client(address, "backup"))[0] == 1  # it was given no folder
+        assert (await client(address, "backup"))[0] == 1  # no folder is configured
         registry.backups = Backups(folder, max_backups=3)
         for number in range(5):
             assert (await call(address, "POST /entries", body(instanceId=f"s-{number}")))[0] == 200
@@ -58,5 +58,7 @@
         controller = await start_controller(registry, "controller-1")
         await controller.runner.run_once()
         task = stored_task(registry, "task.backup")
-        assert task["told"] == "failed: it was given no folder for backups"
+        assert (
+            task["told"] == "failed: no folder for backups is configured; start the registry with --backups"
+        )
         assert (task["leftMs"], task["done"]) == (3_600_000, False)
--- a/tests/control/registry/test_peer_terms.py
+++ b/tests/control/registry/test_peer_terms.py
@@ -25,7 +25,7 @@
             at = address_of(old)
             assert (await call(at, "POST /entries", body(instanceId="s-1")))[0] == 200
             new.store.term = 2  # promoted meanwhile
-            while not old.peer_terms.fenced:
+            while not old.peer_terms.replaced_by:
                 await asyncio.sleep(0.001)
             status, response = await call(at, "POST /entries", body(instanceId="s-2"))
             assert status == 409 and "is of term 2, this is of 1" in response["error"]
--- a/tests/control/registry/test_store.py
+++ b/tests/control/registry/test_store.py
@@ -90,7 +90,7 @@
     new = one(store, RegisterEndpoint(entry(1, started_ms=200, address="127.0.0.1:9")))
     with pytest.raises(ConflictError, match="another life"):
         one(store, RemoveEndpoint("s-1", incarnation=old.incarnation))
-    with pytest.raises(ConflictError, match="started anew"):
+    with pytest.raises(ConflictError, match="later start of s-1 is already registered"):
         one(store, RegisterEndpoint(entry(1, started_ms=100)))
     assert store.entries["s-1"] == new and new.incarnation == 2
     one(store, RemoveEndpoint("s-1", incarnation=new.incarnation))
@@ -333,7 +333,7 @@
     main = path.read_bytes()
     assert main.count(b"127.0.0.1:7003") >= 1
     path.write_bytes(main.replace(b"127.0.0.1:7003", b"127.0.0.1:7004"))
-    with pytest.raises(CorruptStoreError, match="do not fit their digest"):
+    with pytest.raises(CorruptStoreError, match="do not match their digest"):
         Store(path)
 
 
--- a/tests/control/registry/test_write_pipeline.py
+++ b/tests/control/registry/test_write_pipeline.py
@@ -9,7 +9,7 @@
 from orchidhatch.control.http_connection import Connection
 from orchidhatch.control.http_response import Response
 from orchidhatch.control.registry import write_pipeline
-from orchidhatch.control.registry.peer_terms import Fenced
+from orchidhatch.control.registry.peer_terms import ReplacingPeer
 from orchidhatch.control.schemas import read_register_endpoint
 from tests.control.agent.helpers import register_endpoint
 from tests.control.registry.helpers import address_of, call, lifecycles_by_id, raw, serving
@@ -118,7 +118,7 @@
             nonlocal checks
             checks += 1
             if checks == 2:
-                registry.peer_terms.fenced = Fenced((HOST, 1), 2)
+                registry.peer_terms.replaced_by = ReplacingPeer((HOST, 1), 2)
             return checks < 2
 
         registry.peer_terms.ensure_current = fenced_at_the_second_check
@@ -136,7 +136,7 @@
         registry.writes.observers.append(
             SimpleNamespace(batch_written=lambda *_: None, batch_failed=failed.extend)
         )
-        registry.peer_terms.fenced = Fenced(("127.0.0.1", 1), 9)
+        registry.peer_terms.replaced_by = ReplacingPeer(("127.0.0.1", 1), 9)
         registry.writes._access.check_writable = lambda: None
         status, _ = await call(address_of(registry), "POST /entries", body(instanceId="s-1"))
         assert status == 409 and len(failed) == 1
@@ -145,13 +145,13 @@
 async def test_unexpected_error_fails_one_batch_only(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """As where no thread can be started, which is no error of the store."""
     async with serving(tmp_path / "r.db") as registry:
-        run_in_turn = registry.writes._run_in_turn
+        run_serialized = registry.writes._run_serialized
 
         async def fail(work: object) -> None:
-            registry.writes._run_in_turn = run_in_turn
+            registry.writes._run_serialized = run_serialized
             raise RuntimeError("can't start new thread")
 
-        registry.writes._run_in_turn = fail
+        registry.writes._run_serialized = fail
         status, response = await call(address_of(registry), "POST /entries", body(instanceId="s-1"))
         assert status == 503 and "can't start new thread" in response["error"]
         await register_endpoint(registry, "s-2")
