--- a/orchidhatch/gateway/member_slot.py
+++ b/orchidhatch/gateway/member_slot.py
@@ -154,15 +154,16 @@
         self.unanswered_requests += 1
 
     def next_number(self, now_us: int) -> int:
-        """Return the number after the last one; the first follows the clock to differ from earlier
-        processes.
+        """Return the next number; the first one is derived from the clock.
+
+        The clock keeps a new process from reusing the numbers of the one before it.
         """
         if self.last_number == NO_GRANT_NUMBER:
             return now_us // GRANT_NUMBER_STEP_US % MAX_GRANT_NUMBER + 1
         return self.last_number % MAX_GRANT_NUMBER + 1
 
     def awaits_grant(self, number: int) -> bool:
-        """Return whether a grant of that number is the first for its request; unnumbered grants always are."""
+        """Return whether a grant of that number is the first for its request; always True if unnumbered."""
         return number in (NO_GRANT_NUMBER, self.open_number)
 
     def on_queued(self, now_us: int) -> None:
