--- a/orchidhatch/gateway/actions.py
+++ b/orchidhatch/gateway/actions.py
@@ -135,7 +135,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitTimes:
-    """Microseconds that requests have waited since the previous WaitTimes, summed by what they waited for."""
+    """Microseconds that requests have waited since the previous WaitTimes, by cause of the wait."""
 
     times: tuple[tuple[str, int], ...]
 
--- a/orchidhatch/gateway/admission.py
+++ b/orchidhatch/gateway/admission.py
@@ -101,7 +101,7 @@
             self.quotas.report_demand(customer)
 
     def local_decision_source(self, customer: Customer) -> QuotaDecisionSource:
-        """Return what a decision on the quota of the whole gateway set is based on without a new answer."""
+        """Return the source of a decision that is made here without a new answer of the quota leader."""
         if customer.is_leader:
             return QuotaDecisionSource.LEADER
         if customer.has_fresh_answer(self.context.now_us):
--- a/orchidhatch/gateway/candidates.py
+++ b/orchidhatch/gateway/candidates.py
@@ -148,7 +148,7 @@
         return not self.slow_start.is_warming_up(server) or self.slow_start.has_credit(server)
 
     def is_full(self, server: ServerRecord) -> bool:
-        """Return whether a server has as many attempts in flight as it should queue."""
+        """Return whether a server has as many attempts in flight as this gateway may send it."""
         return len(server.in_flight) >= self.max_in_flight
 
     def is_in_scope(self, request: InFlightRequest, server: ServerRecord) -> bool:
--- a/orchidhatch/gateway/events.py
+++ b/orchidhatch/gateway/events.py
@@ -160,7 +160,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SuspendAdmission:
-    """Admission is suspended, as the gateway's policy lease has lapsed, or resumed."""
+    """Suspends admission because the gateway's policy lease has lapsed, or resumes it."""
 
     is_suspended: bool
 
--- a/orchidhatch/gateway/handover.py
+++ b/orchidhatch/gateway/handover.py
@@ -148,7 +148,7 @@
     def on_peer_gone(self, _: HandoverPeerGone) -> None:
         """Handle the end of the other process, which ends its attempts too.
 
-        If it was the successor, this process reports what was left for it to report, if still possible. If it
+        If it was the successor, this process reports again what was left to it, where still possible. If it
         was unknown, it may have used up every rate ceiling, so all of them restart empty.
         """
         self.context.has_handover_peer = False
--- a/orchidhatch/gateway/handover_spending.py
+++ b/orchidhatch/gateway/handover_spending.py
@@ -33,7 +33,7 @@
             self.share_spend(customer, 0.0)
 
     def share_answer(self, customer: Customer, grant: GrantRequest) -> None:
-        """Send a successor the result of an answer, as it may get another one to the same grant request."""
+        """Send a successor what an answer has counted, as it may get another to the same grant request."""
         if self.context.has_successor:
             counted = -customer.quota.hand_over_unreported()
             answered = (grant.snapshot(customer.key),)
--- a/orchidhatch/gateway/membership.py
+++ b/orchidhatch/gateway/membership.py
@@ -11,7 +11,7 @@
 
 # Events without a complete list; after a failed call the previous list stays valid.
 PARTIAL_LISTS = (EndpointListKind.CHANGES, EndpointListKind.FAILED)
-# Events that show that the gateway is not subscribed to changes.
+# Events after which the gateway has no subscription to changes.
 UNSUBSCRIBED_LISTS = (EndpointListKind.SAVED, EndpointListKind.FAILED)
 # Records kept of servers that the list has marked as gone.
 MAX_GONE_SERVERS = 64
@@ -26,7 +26,7 @@
         self.context = context
         self.balancer = balancer
         self.last_serial = 0
-        # Servers that the list has marked as gone, the first one first.
+        # Servers that the list has marked as gone, the earliest first.
         self.gone_servers: dict[str, None] = {}
         # Whether an operator has ejected the server, by the name of each server that was ever listed.
         self.ejected_by_name: dict[str, bool] = {}
--- a/orchidhatch/gateway/metrics.py
+++ b/orchidhatch/gateway/metrics.py
@@ -128,7 +128,7 @@
         return [WaitTimes(tuple(sorted(waited_us.items())))] if waited_us else []
 
     def wait_reason_name(self, request: InFlightRequest) -> str:
-        """Return what a waiting request waits for, by the name of the rejection reason if there is one."""
+        """Return the metric name of what a waiting request waits for."""
         if request.decide_at_us < NEVER:
             return AWAITING_GRANT_NAME
         return end_reason_name(self.wait_reason(request))
--- a/orchidhatch/gateway/reasons.py
+++ b/orchidhatch/gateway/reasons.py
@@ -6,7 +6,7 @@
 
 
 class RejectionReason(Enum):
-    """Why the gateway itself ended a request; the second group names what an expired request waited for."""
+    """Why the gateway itself ended a request; the second group is what an expired request was waiting for."""
 
     ADMISSION_SUSPENDED = auto()
     CUSTOMER_BANNED = auto()
--- a/orchidhatch/gateway/snapshots.py
+++ b/orchidhatch/gateway/snapshots.py
@@ -21,7 +21,7 @@
 class GrantRequestSnapshot:
     """A grant request whose grant number may not be reused yet.
 
-    It was opened for `units`; `counted` is what the leader counted by its answers, `spent` what was spent.
+    It was opened for `units`; `counted` are the units that the leader's answers counted, `spent` those spent.
     """
 
     key: CustomerKey
