--- a/orchidhatch/proxy/config_reader.py
+++ b/orchidhatch/proxy/config_reader.py
@@ -118,7 +118,10 @@
 
 
 def check_settings(settings: Settings) -> None:
-    """Check that times, amounts and shares are within their ranges. Raises ConfigError if one is not."""
+    """Check that times are positive, amounts not negative and shares between 0 and 1.
+
+    Raises ConfigError if a value is out of range.
+    """
     check_range("ceilings.max-retry-after-us", settings.max_retry_after_us, 0, MAX_TIME_US)
     check_range("obligations.cold-from", settings.cold_capacity, 0, 1)
     check_range("obligations.warm-within-us", settings.warm_up_us, 0, MAX_TIME_US)
