--- a/tests/gateway/test_concurrency_slots.py
+++ b/tests/gateway/test_concurrency_slots.py
@@ -1,4 +1,4 @@
-"""Concurrency slots under an open cap, at one gateway and over a set."""
+"""Concurrency slots under an open cap, at one gateway and over a gateway set."""
 
 from collections import Counter
 from dataclasses import replace
@@ -23,7 +23,7 @@
 
 
 def test_busiest_gateway_gets_the_whole_open_cap_and_ceiling() -> None:
-    """Split in three, a gateway would have a third of the ceiling: 3.3 a second of the quota's 8."""
+    """Guards against a ceiling split in three, of which one gateway gets 3.3 per second for a quota of 8."""
     gateways = Set(3, replace(SETTINGS, plans=(CAPPED,)))
     drive_capped(gateways)
     ends = Counter(type(action) for world in gateways.worlds for _, action in world.log)
@@ -59,11 +59,11 @@
             for send in of(SendGossip, leader.run(500 * MS))
             for message in send.messages
         ]
-    assert later == [(1, SlotGrant.GRANTED)]  # gateway 2 never reported an attempt
+    assert later == [(1, SlotGrant.GRANTED)]  # gateway 2 never reported an attempt, so its slot expired
 
 
-def test_open_cap_smaller_than_its_set_follows_the_requests() -> None:
-    """The cap holds over all gateways, and the busy one uses all of it."""
+def test_open_cap_below_the_set_size_goes_to_the_busy_gateway() -> None:
+    """The open cap holds over all gateways, and a single busy gateway can use all of it."""
     plan = Plan(rate=100.0, burst=100.0, max_in_flight=2)
     gateways = Set(4, replace(SETTINGS, plans=(plan,)))
     gateways.ask(0, "first", customer="c")
@@ -71,13 +71,13 @@
     leader = customer.leader
     gateways.run(300 * MS)
     for world in gateways.worlds:
-        world.answer = lambda *_, **__: []  # from now on nothing is answered
+        world.answer = lambda *_, **__: []  # attempts remain in flight from now on
     busy_index = (leader + 1) % 4
     busy = gateways.worlds[busy_index]
     for number in range(4):
         gateways.ask(busy_index, f"a{number}", customer="c", set_first=0)
     gateways.run(300 * MS)
-    assert len(busy.out) == 2  # more than an even share, as the leader knows that the others use none
+    assert len(busy.out) == 2  # more than an even share, because the others use no slots
     for number in range(4):
         gateways.ask(leader, f"b{number}", customer="c")
     gateways.run(300 * MS)
--- a/tests/gateway/test_gossip_codec.py
+++ b/tests/gateway/test_gossip_codec.py
@@ -1,4 +1,4 @@
-"""The gossip codec: messages and observations come back from the datagrams they were packed into."""
+"""The gossip codec: messages and observations are unpacked as they were packed."""
 
 from dataclasses import replace
 
@@ -49,15 +49,15 @@
 
 
 def test_plan_that_no_byte_names_loses_no_other_message() -> None:
-    """Guards against messages that are lost as another one of the same send names a plan above 255."""
+    """Guards against lost messages because another message of the same send has a plan index above 255."""
     named = GossipMessage(1, 0, 0, 3, demand=1.0)
     unnamed = GossipMessage(2, 256, 0, 3, demand=1.0)
     [datagram] = pack_message([named, unnamed])
     assert unpack_message(datagram)[0] == (named,)
 
 
-def test_no_datagram_goes_out_for_unnamed_plans_alone() -> None:
-    """Guards against a datagram without a message, which its reader takes for malformed."""
+def test_no_datagram_is_sent_without_a_message() -> None:
+    """Guards against a datagram without a message, which the recipient would reject as malformed."""
     unnamed = GossipMessage(2, 256, 0, 3, demand=1.0)
     observations = (AttemptObservation(1, 0, True, 1.0),)
     assert pack_message([unnamed, unnamed], observations) == []
@@ -71,7 +71,7 @@
 
 
 def report_with_total(number: int) -> GossipMessage:
-    """A report with a total of its own."""
+    """Return a report with a distinct total."""
     total = SpentTotal(stream=number + 1, sequence=number, units=number / 50, age_us=number % 15 * 4 * S)
     return replace(REPORT, spent_total=total)
 
@@ -79,7 +79,7 @@
 @pytest.mark.parametrize("mark", [0, 9])
 @pytest.mark.parametrize("count", [1, 7, 8, 9, 60])
 def test_totals_are_unpacked_as_packed(count: int, mark: int) -> None:
-    """Guards against a total that goes to another message, where answers and plain messages are between."""
+    """Guards against a total assigned to the wrong message among answers and messages without a total."""
     messages = tuple(
         message for number in range(count) for message in (ANSWER, report_with_total(number), REPORT)
     )[:60]
@@ -91,13 +91,13 @@
     assert {mark_of(datagram) for datagram in datagrams} == {mark}
 
 
-def test_observations_go_with_the_total() -> None:
+def test_observations_are_sent_beside_a_total() -> None:
     [datagram] = pack_message([report_with_total(3)], OBSERVATIONS)
     assert unpack_message(datagram) == ((report_with_total(3),), OBSERVATIONS)
 
 
 @pytest.mark.parametrize(
-    ("total", "arrives"),
+    ("total", "expected"),
     [
         (
             SpentTotal(MAX_STREAM, SEQUENCE_NUMBERS - 1, 335544.3, MAX_STREAM_AGE_US),
@@ -109,13 +109,13 @@
     ],
     ids=["greatest", "rounded up past the range", "rounded down", "oldest"],
 )
-def test_totals_at_the_ends_of_their_ranges(total: SpentTotal, arrives: SpentTotal) -> None:
+def test_totals_at_the_ends_of_their_ranges(total: SpentTotal, expected: SpentTotal) -> None:
     [datagram] = pack_message([replace(REPORT, spent_total=total)])
-    assert unpack_message(datagram)[0] == (replace(REPORT, spent_total=arrives),)
+    assert unpack_message(datagram)[0] == (replace(REPORT, spent_total=expected),)
 
 
-def test_version_before_learns_nothing_from_totals() -> None:
-    """Guards against totals that a gateway of the version before learns from as observations."""
+def test_previous_version_ignores_totals() -> None:
+    """Guards against totals that a gateway of the previous version uses as observations."""
     messages = [ANSWER, report_with_total(1), report_with_total(2)]
     [datagram] = pack_message(messages, OBSERVATIONS)
     end = 1 + len(messages) * MESSAGE.size
@@ -126,7 +126,7 @@
 
 
 def test_observation_of_the_class_of_totals_is_left_out() -> None:
-    """Guards against an observation that is read as part of a total."""
+    """Guards against an observation that is decoded as part of a total."""
     observations = [AttemptObservation(n, CLASSES_LIMIT, True, 1.0) for n in range(3)]
     [datagram] = pack_message([REPORT], observations)
     assert unpack_message(datagram) == ((REPORT,), ())
--- a/tests/gateway/test_leader_requests.py
+++ b/tests/gateway/test_leader_requests.py
@@ -1,4 +1,4 @@
-"""The backoff towards a quota leader that does not answer."""
+"""The backoff for requests to a quota leader that does not answer."""
 
 from orchidhatch.gateway.leader_requests import LEADER_ANSWER_TTL_US, MIN_BACKOFF_US, LeaderBackoff
 from orchidhatch.gateway.times import S
--- a/tests/gateway/test_leader_slots.py
+++ b/tests/gateway/test_leader_slots.py
@@ -1,4 +1,4 @@
-"""The slots that a quota leader grants: what counts as in use, and who is next in the queue."""
+"""The slots that a quota leader grants: which count as in use, and which request is next."""
 
 import pytest
 
@@ -54,7 +54,7 @@
     assert slots.in_use(NOW_US) == 2
     slots.on_report(PEER, 1, False, NOW_US)
     assert slots.in_use(NOW_US) == 2
-    # One attempt ended and another began.
+    # One attempt has ended and another has started.
     slots.on_report(PEER, 1, True, NOW_US)
     assert slots.in_use(NOW_US) == 1
 
@@ -73,7 +73,7 @@
     slots.enqueue(OTHER, SLOT_ONLY_UNITS, NOW_US)
     assert slots.next_peer(5.0) == PEER
     assert slots.next_peer(4.9) == OTHER
-    # A slot alone needs nothing of the ceiling, which may be overdrawn.
+    # A request for a slot only needs no ceiling units, so an overdrawn ceiling does not block it.
     assert slots.next_peer(-1.0) == OTHER
     slots.enqueue(PEER, 2.0, NOW_US + 1)
     assert slots.next_peer(2.0) == PEER
@@ -94,7 +94,7 @@
     repeated_us = NOW_US + 2 * LEADER_REPLY_TIMEOUT_US - 1
     granted = slots.repeat_grant(PEER, 7, repeated_us)
     assert granted is not None and granted.units == 3.0
-    # The slot is that gateway's for as long as if it were granted now.
+    # The repeated grant restarts the time for which the slot is kept.
     later_us = repeated_us + 2 * LEADER_REPLY_TIMEOUT_US - 1
     slots.on_report(PEER, 0, False, later_us)
     assert slots.in_use(later_us) == 1
@@ -102,6 +102,6 @@
     assert slots.repeat_grant(PEER, 7, later_us) is None
 
 
-def test_request_without_a_number_repeats_none(slots: LeaderSlots) -> None:
+def test_unnumbered_request_is_never_a_repetition(slots: LeaderSlots) -> None:
     grant(slots, PEER)
     assert slots.repeat_grant(PEER, NO_GRANT_NUMBER, NOW_US) is None
--- a/tests/gateway/test_member_slot.py
+++ b/tests/gateway/test_member_slot.py
@@ -1,4 +1,4 @@
-"""The states of a member's concurrency slot, and when it is requested, renewed and given back."""
+"""The states of a member's concurrency slot: when it is requested, renewed and returned."""
 
 import pytest
 
--- a/tests/gateway/test_peer_outbox.py
+++ b/tests/gateway/test_peer_outbox.py
@@ -1,4 +1,4 @@
-"""The outbox of messages to the other gateways: pacing, bound, what each peer was sent of observations."""
+"""The outbox of gossip messages: pacing, queue bounds, and the observations sent to each peer."""
 
 from dataclasses import replace
 
@@ -27,7 +27,7 @@
 
 
 def sent(outbox: PeerOutbox) -> list[SendGossip]:
-    """What is sent now; the actions are taken off."""
+    """Return what is sent now, and clear the actions."""
     outbox.send()
     sends = [action for action in outbox.context.actions if isinstance(action, SendGossip)]
     outbox.context.actions.clear()
@@ -81,8 +81,8 @@
     assert send.messages == tuple(messages[3:])
 
 
-def test_message_that_no_datagram_holds_takes_nothing_of_the_outbox(outbox: PeerOutbox) -> None:
-    """Guards against messages about a plan above 255 that push others out or lose observations."""
+def test_message_above_the_plan_index_limit_is_ignored(outbox: PeerOutbox) -> None:
+    """Guards against messages about a plan index above 255 that evict others or consume observations."""
     unnameable = replace(MESSAGE, plan_index=MAX_PLAN_INDEX + 1)
     outbox.add_observation(observation(0.5))
     outbox.add(PEER, unnameable)
@@ -118,7 +118,7 @@
 
 
 def test_observations_of_ended_attempts_are_sent_while_new() -> None:
-    """A peer gets each observation once, none past its age, and no more than are kept."""
+    """Each peer gets an observation once, none above the age limit, and at most the number kept."""
     world = World(replace(SETTINGS, gateway_count=2))
     outbox = world.gateway.outbox
     for number in range(3):
@@ -128,7 +128,7 @@
     second = outbox.unsent_observations(1)
     assert [observed.succeeded for observed in first] == [True, False, False]
     assert second == ()
-    # An error says nothing of how busy servers are.
+    # The latency of an error tells nothing about the load of the server.
     assert [observed.relative_latency for observed in first][1:] == [0.0, 0.0]
     assert len(outbox.unsent_observations(0)) == 3
     world.ask("late")
@@ -142,7 +142,7 @@
 
 
 def test_sends_stay_under_half_of_what_a_gateway_can_receive() -> None:
-    """However much one customer requests, its leader can receive what is reported of it."""
+    """A leader can receive all reports about one customer, however much the customer requests."""
     for count in (3, 40):
         gateways = Set(count)
         received = 0
@@ -155,8 +155,8 @@
         assert received / 5 <= 60
 
 
-def test_grant_requests_need_not_wait_for_the_spacing() -> None:
-    """A request that comes too late is repeated, and its leader counts it twice."""
+def test_burst_of_grant_requests_is_sent_without_spacing() -> None:
+    """Guards against grant requests that arrive late, are repeated, and are counted twice by the leader."""
     world = World(replace(SETTINGS, gateway_count=4, gateway_index=0))
     names = [f"c{number}" for number in range(200)]
     counts = []
@@ -166,7 +166,7 @@
         if sum(counts) == 9:
             break
     assert max(counts) == 1
-    assert sum(counts) == 9  # three running to each of three peers
+    assert sum(counts) == 9  # a burst of three to each of three peers
     assert not any(
         of(SendGossip, world.ask(f"s{name}", customer=name, set_size=4, units=20.0)) for name in names
     )
--- a/tests/gateway/test_quota.py
+++ b/tests/gateway/test_quota.py
@@ -1,4 +1,4 @@
-"""The quota of a customer over all gateways of its set."""
+"""A customer's quota over all gateways of its set."""
 
 import zlib
 from dataclasses import replace
@@ -16,34 +16,34 @@
 
 @pytest.mark.parametrize("count", [1, 2, 20])
 def test_set_has_the_whole_burst_and_rate(count: int) -> None:
-    """A local share under one unit does not reject a customer inside its quota, nor exceed it in sum.
+    """With local shares below one unit, the set neither rejects requests inside the quota nor exceeds it.
 
-    Requests are admitted at random, so that the rate holds for the mean of several seeds, the sum for each.
+    Admission is random: the rate is checked for the mean of several seeds, the upper bound for each seed.
     """
-    later = []
+    sent_later = []
     for seed in range(8):
         gateways = Set(count, seed=seed)
         for number in range(60):
             gateways.ask(number * 7 % count, f"r{number}")
             gateways.run(10 * MS)
         gateways.run(S)
-        # A burst of 20, what was refilled in 0.6 s and while demand decayed.
+        # A burst of 20, the refill of 0.6 s, and the refill while demand decays.
         assert 19 <= gateways.sent() <= 35
         before = gateways.sent()
         for number in range(600):
             gateways.ask(number * 7 % count, f"more{number}")
             gateways.run(10 * MS)
         gateways.run(S)
-        # The burst, 10 a second for 8.6 s, and what the rule adds for the time in which demand decays.
+        # The burst, 10 per second for 8.6 s, and the refill while demand decays.
         assert gateways.sent() <= 20 + 86 + 5
-        later.append(gateways.sent() - before)
-    # 10 a second for 6 s, of 100 requested.
-    assert sum(later) / len(later) == pytest.approx(60, abs=16)
+        sent_later.append(gateways.sent() - before)
+    # 10 per second for 6 s, of 100 per second requested.
+    assert sum(sent_later) / len(sent_later) == pytest.approx(60, abs=16)
 
 
 @pytest.mark.parametrize("scale", [1.0, 10.0])
 def test_requests_inside_the_quota_are_sent_whatever_their_units(scale: float) -> None:
-    """Guards against demand in units compared with a count of requests, so that the leader is not asked."""
+    """Guards against comparing demand in units with a number of requests, which skips the grant request."""
     plan = Plan(rate=10.0 * scale, burst=20.0 * scale)
     gateways = Set(4, replace(SETTINGS, plans=(plan,)))
     gateways.run(1100 * MS)
@@ -55,26 +55,26 @@
 
 @pytest.mark.parametrize("count", [2, 3, 100])
 def test_isolated_gateways_keep_to_their_shares(count: int) -> None:
-    """Each gateway without gossip would else lead the customer and admit the whole quota."""
-    every_us = S // 4  # 160 units a second or more, where the plan has 10
+    """Guards against each gateway without gossip leading the customer and admitting the whole quota."""
+    every_us = S // 4  # at least 160 units per second, for a plan of 10
     gateways = Set(count, replace(SETTINGS, may_gossip=False))
-    for turn in range(40):
+    for step in range(40):
         for number in range(max(40, count)):
-            gateways.ask(number % count, f"r{turn}-{number}")
+            gateways.ask(number % count, f"r{step}-{number}")
         gateways.run(every_us)
     seconds = 40 * every_us / S
     sent = gateways.sent()
     quota = PLAN.rate * seconds + PLAN.burst
     assert not any(of(SendGossip, [action for _, action in world.log]) for world in gateways.worlds)
-    assert sent <= quota + count  # a share holds a whole request
+    assert sent <= quota + count  # each share holds at least one request
     assert sent >= 0.8 * quota
 
 
 def test_large_request_without_leader_leaves_a_debt() -> None:
-    """The allowance without an answer is a local share of one request at least, however large that is."""
+    """Without an answer, the allowance admits one request of any size and then has to recover."""
     world = World(replace(SETTINGS, gateway_count=40, plans=(replace(PLAN, rate=20.0),)))
     led_elsewhere = next(str(n) for n in range(99) if zlib.crc32(str(n).encode()) % 40)
-    for number in range(40):  # the local share is half a unit a second
+    for number in range(40):  # the local share is half a unit per second
         world.ask(f"r{number}", customer=led_elsewhere, set_size=40, units=5.0)
         world.run(S)
         for request, attempt in list(world.out):
@@ -86,7 +86,7 @@
 
 def test_large_request_at_isolated_gateway_leaves_a_debt() -> None:
     world = World(replace(SETTINGS, may_gossip=False, gateway_count=40))
-    large = {"set_size": 40, "units": 6.0}  # of a rate of a quarter here
+    large = {"set_size": 40, "units": 6.0}  # the local rate is a quarter of a unit per second
     assert of(SendAttempt, world.ask("first", **large))
     world.answer("first")
     for number in range(22):
@@ -97,23 +97,23 @@
 
 
 def test_isolated_share_follows_a_plan_change() -> None:
-    """The bucket keeps its fraction of the burst, and the open cap is the local share of the new one."""
+    """The bucket keeps its fraction of the burst, and the open cap becomes the local share of the new one."""
     plan = replace(PLAN, rate=4.0, burst=40.0, max_in_flight=2)
     world = World(replace(SETTINGS, may_gossip=False, gateway_count=4, plans=(plan,)))
     for number in range(5):
         world.ask(f"r{number}", set_size=4)
         world.run(20 * MS)
-        assert len(world.out) == 1  # two slots for four gateways
+        assert len(world.out) == 1  # two slots for four gateways: at least one each
         world.answer(f"r{number}")
     world.tell(PolicyChange((SAFE,), (replace(plan, burst=80.0, max_in_flight=8),), frozenset(), 1, (0,)))
     sent = sum(bool(of(SendAttempt, world.ask(f"s{number}", set_size=4))) for number in range(20))
-    assert sent == 2  # slots of eight
+    assert sent == 2  # a quarter of eight slots
     for _ in range(12):
         for name, attempt in list(world.out):
             world.answer(name, attempt=attempt)
         world.run(20 * MS)
     sent_since = sum(isinstance(action, SendAttempt) for _, action in world.log) - 5
-    assert 9 <= sent_since <= 11  # the half of a burst of 20 here
+    assert 9 <= sent_since <= 11  # half of the local burst of 20
 
 
 def test_request_without_time_left_costs_no_quota() -> None:
@@ -133,7 +133,7 @@
 
 
 def test_set_does_not_exceed_the_leaders_level() -> None:
-    """Forty gateways with a twentieth of a request each: the leader is asked for every one."""
+    """In a set of 40 gateways with local shares of a twentieth of a request, each request asks the leader."""
     plan = Plan(rate=0.5, burst=2.0)
     gateways = Set(40, replace(SETTINGS, plans=(plan,)))
     level = plan.burst
@@ -148,27 +148,28 @@
         last_us = sent_us
         above_level += level < 1
         level -= level >= 1
-    assert 12 <= len(sends) <= 18  # 2 and 0.5 a second for 30 s
-    assert above_level <= len(sends) / 4  # messages cross
+    assert 12 <= len(sends) <= 18  # a burst of 2, and 0.5 per second for 30 s
+    assert above_level <= len(sends) / 4  # concurrent messages may exceed the level
 
 
 def test_old_answers_leave_the_level_to_grant_requests() -> None:
-    """Thirty gateways that all admit on the same level would spend it thirty times over."""
+    """Guards against thirty gateways that all admit by the same level and spend it thirty times."""
     world = World(replace(SETTINGS, plans=(Plan(rate=10.0, burst=20.0),), gateway_count=40))
     customer = world.gateway.quotas.customer(CustomerKey(1, 0, 0, 30))
     customer.quota.set_level = 3.0
     customer.demand.units = 20.0
-    # The leader's answer holds for the request that it was given to.
+    # The leader's answer applies to the request that it was given for.
     assert customer.chance(1.0) == 1.0
-    # Without any answer one request is its own in any case.
+    # Without any answer, the allowance admits one request.
     assert customer.chance(1.0, known=False) == 1.0
     customer.take(1.0)
     assert customer.chance(1.0, known=False) == 0.0
-    world.run(2 * S)  # a thirtieth of the rate
+    world.run(2 * S)  # the allowance refills at a thirtieth of the rate
     assert customer.refill(world.now).chance(1.0, known=False) == 0.0
     world.run(S)
     assert customer.refill(world.now).chance(1.0, known=False) == 1.0
-    # Requests leave nothing of a rate of 10 at 25 a second: an old answer is of use above what is reserved.
+    # At 25 requests per second to the leader, nothing of a rate of 10 is left: an older answer permits
+    # spending only the level above the reserve.
     customer.last_answer_us = world.now
     customer.demand.units = 20.0
     customer.quota.set_level = 20.0
@@ -178,7 +179,7 @@
     assert customer.chance(1.0, known=False) == 0.0
     customer.quota.set_level = 0.9
     assert customer.chance(1.0) == 0.0
-    # Local shares of a small set hold whole requests, so that each goes by quota over demand.
+    # Local shares of a small set hold whole requests: the probability is quota divided by demand.
     of_three = world.gateway.quotas.customer(CustomerKey(1, 0, 0, 3))
     of_three.quota.set_level = 0.9
     of_three.demand.units = 20.0
--- a/tests/gateway/test_quota_buckets.py
+++ b/tests/gateway/test_quota_buckets.py
@@ -1,4 +1,4 @@
-"""The buckets of a customer's quota: what refills, what a request takes, and what an answer sets."""
+"""The buckets of a customer's quota: refills, spending, and the effect of answers."""
 
 import pytest
 
@@ -27,13 +27,17 @@
     assert buckets.unreported_spend == 4.0
 
 
-@pytest.mark.parametrize(("units", "left"), [(-1.0, -19.0), (1.0, -20.0)], ids=["withdrawn", "spent"])
-def test_small_request_forgives_no_debt(buckets: QuotaBuckets, units: float, left: float) -> None:
-    """Guards against units beyond the quota: the debt of a large request ended with the next small one."""
+@pytest.mark.parametrize(
+    ("units", "expected_allowance"), [(-1.0, -19.0), (1.0, -20.0)], ids=["withdrawn", "spent"]
+)
+def test_small_request_forgives_no_debt(
+    buckets: QuotaBuckets, units: float, expected_allowance: float
+) -> None:
+    """Guards against admission beyond the quota because a small request cancels the debt of a large one."""
     buckets.spend_locally(30.0)
     assert buckets.allowance == -20.0
     buckets.spend_locally(units)
-    assert buckets.allowance == left
+    assert buckets.allowance == expected_allowance
     assert not buckets.has_allowance(1.0)
 
 
--- a/tests/gateway/test_quota_leader.py
+++ b/tests/gateway/test_quota_leader.py
@@ -1,4 +1,4 @@
-"""The leader's side of quotas: what it counts of grants and reports."""
+"""The leader side of quotas: counting of grants and reports."""
 
 from dataclasses import replace
 
@@ -14,13 +14,13 @@
 
 
 def test_granted_units_are_counted_once() -> None:
-    """The leader counts what it grants; what members report later must not be the same units again."""
+    """Guards against units that the leader counts when it grants them and again when members report."""
     gateways = Set(20, replace(SETTINGS, plans=(replace(PLAN, burst=10.0),)))
     for number in range(300):
         gateways.ask(number * 7 % 20, f"r{number}")
         gateways.run(110 * MS)
     leaders = [customer for customer in all_customers(gateways) if customer.is_leader]
-    assert leaders[0].quota.set_level > 6  # of 10, at nine tenths of the rate
+    assert leaders[0].quota.set_level > 6  # of 10, at nine tenths of the refill rate
 
 
 def test_granted_units_not_sent_return_to_the_quota() -> None:
@@ -74,7 +74,7 @@
 
 
 def test_ceded_ceiling_is_not_received_beside_a_handover_peer() -> None:
-    """The peer's process would use it too."""
+    """Guards against both processes of a handover using the same ceded refill."""
     for has_peer in (False, True):
         world = World(replace(SETTINGS, gateway_count=3, plans=(CAPPED,)))
         world.gateway.context.has_handover_peer = has_peer
@@ -83,7 +83,7 @@
         assert bool(customer.ceiling.received_until_us) is not has_peer
 
 
-def test_own_requests_take_their_turn_for_a_free_slot() -> None:
+def test_own_requests_get_a_fair_share_of_free_slots() -> None:
     leader = World().gateway.quotas.leader
     assert all(leader.is_slot_for_own_requests(0) for _ in range(100))
     turns = sum(leader.is_slot_for_own_requests(3) for _ in range(4000))
--- a/tests/gateway/test_quota_leaders.py
+++ b/tests/gateway/test_quota_leaders.py
@@ -1,4 +1,4 @@
-"""The customers that a gateway knows, and the messages about them."""
+"""The customers known to a gateway, and the validation of messages about them."""
 
 from dataclasses import replace
 
--- a/tests/gateway/test_rate_ceiling.py
+++ b/tests/gateway/test_rate_ceiling.py
@@ -1,4 +1,4 @@
-"""The rate ceiling of a customer, split over its set or handed out by its quota leader."""
+"""A customer's rate ceiling, split over its set or handed out by its quota leader."""
 
 import zlib
 from dataclasses import replace
@@ -22,12 +22,15 @@
     for number in range(40):
         world.ask(f"r{number}", set_size=2)
     world.run(S)
-    # Half of 10 a second, from none.
+    # Half of 10 per second, starting from an empty bucket.
     assert len(of(SendAttempt, [action for _, action in world.log])) in (4, 5)
 
 
 def test_ceiling_holds_over_a_large_set_with_restarts() -> None:
-    """All shares together, half of the set restarted, all traffic on few gateways for a while."""
+    """The ceiling holds over all shares while gateways restart.
+
+    Half of the set is restarted, and for a while all traffic goes through a few gateways.
+    """
     plan = Plan(rate=10.0, burst=30.0, ceiling_rate=18.0, ceiling_burst=40.0, ceiling_slack=4.0)
     gateways = Set(20, replace(SETTINGS, plans=(plan,)))
     start_us = gateways.worlds[0].now
@@ -54,7 +57,7 @@
     leader = zlib.crc32(b"c") % 3
 
     def fail(step: int) -> None:
-        if fault == "leader cut off":  # it goes on, and nobody receives its messages
+        if fault == "leader cut off":  # it keeps running, but its messages are lost
             is_cut_off = 300 <= step < 500 or 700 <= step < 720
             gateways.down = leader if is_cut_off else -1
         if fault == "restarts" and step % 60 == 59:
@@ -67,7 +70,7 @@
         level = min(12.0, level + 10.0 * (sent_us - last_us) / S) - 1
         last_us = sent_us
         lowest = min(lowest, level)
-    assert lowest >= -1.2 - 10 * 0.15  # the slack, and what the rate gives in 150 ms
+    assert lowest >= -1.2 - 10 * 0.15  # the slack, and the refill of 150 ms
     assert gateways.sent() >= 100
 
 
@@ -101,7 +104,7 @@
     assert RECEIVED_SHARE_US < CEDED_SHARE_US
 
 
-def test_dropped_share_refills_no_more(ceiling: RateCeiling) -> None:
+def test_dropped_share_is_no_longer_refilled(ceiling: RateCeiling) -> None:
     ceiling.receive(1, NOW_US)
     ceiling.drop_received()
     ceiling.refill(NOW_US, NOW_US + S)
@@ -113,7 +116,7 @@
     assert ceiling.units == 20.0
 
 
-def test_idle_customer_refills_but_for_what_it_ceded(ceiling: RateCeiling) -> None:
+def test_idle_refill_excludes_the_ceded_time(ceiling: RateCeiling) -> None:
     ceiling.refill_idle(4 * S)
     assert ceiling.units == 8.0
     ceiling.cede(NOW_US)
@@ -121,7 +124,7 @@
     assert ceiling.units == 2.0
 
 
-def test_only_a_ceiling_with_too_few_units_lacks_them(ceiling: RateCeiling) -> None:
+def test_ceiling_lacks_units_above_its_level(ceiling: RateCeiling) -> None:
     ceiling.add(3.0)
     assert not ceiling.lacks(3.0)
     assert ceiling.lacks(3.1)
@@ -140,7 +143,10 @@
 
 
 def test_member_cedes_its_share_from_the_start() -> None:
-    """The leader may use the share by the reports of others of the member's earlier process."""
+    """Guards against a share used twice after a restart.
+
+    The leader may still use the share because of reports of the member's previous process.
+    """
     settings = replace(SETTINGS, gateway_count=3, gateway_index=1)
     member = Customer(CAPPED, CustomerKey(0, 0, 0, 3), settings, NOW_US)
     assert member.ceiling.ceded_until_us == NOW_US + CEDED_SHARE_US
--- a/tests/gateway/test_slot_repeats.py
+++ b/tests/gateway/test_slot_repeats.py
@@ -1,4 +1,4 @@
-"""Requests for a concurrency slot whose messages are late or repeated: each is granted once."""
+"""Slot requests whose messages are late or repeated: each is granted once."""
 
 import pytest
 
@@ -6,8 +6,8 @@
 from tests.gateway.held_pair import PAST_ONE_WAIT, SLOTS_PLAN, HeldPair
 
 
-def test_repeated_grant_of_a_slot_sends_no_other_request() -> None:
-    """Guards against two attempts by one slot, as its answer came twice."""
+def test_repeated_slot_grant_admits_one_request() -> None:
+    """Guards against two attempts that use the same slot because its grant arrives twice."""
     pair = HeldPair(SLOTS_PLAN)
     pair.ask("a", units=1.0)
     pair.run(PAST_ONE_WAIT)
@@ -26,7 +26,7 @@
 
 @pytest.mark.parametrize("units", [0.01, 0.02, 0.025, 0.05, 1.01])
 def test_slot_comes_with_enough_units_of_the_ceiling(units: float) -> None:
-    """Guards against a message that says fewer units of the ceiling than a request needs, or none."""
+    """Guards against a grant of fewer ceiling units than a request needs, due to the message's precision."""
     plan = Plan(rate=10.0, burst=20.0, max_in_flight=2, ceiling_rate=4.0, ceiling_burst=8.0)
     pair = HeldPair(plan, through_codec=True)
     pair.customer_at(pair.member).empty_ceiling(pair.member.now)
--- a/tests/gateway/test_units_given_back.py
+++ b/tests/gateway/test_units_given_back.py
@@ -1,4 +1,4 @@
-"""Units of clients that have gone: the leader is told of them without another request, and once."""
+"""Units of disconnected clients: they are reported to the leader once, and without another request."""
 
 from dataclasses import replace
 
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def pair() -> HeldPair:
-    """A pair whose member was granted 6 units for a request whose client has gone."""
+    """A pair whose member was granted 6 units for a request whose client has disconnected."""
     pair = HeldPair()
     pair.ask("a", units=6.0)
     pair.tell(pair.member, ClientGone("a"))
@@ -26,7 +26,7 @@
 
 
 def test_units_of_a_client_that_left_the_queue_are_given_back() -> None:
-    """Guards against units of a request that was granted, queued and not sent."""
+    """Guards against the loss of units that were granted to a queued request that was never sent."""
     pair = HeldPair()
     pair.tell(pair.member, EndpointList(EndpointListKind.FULL, 2, ()))
     pair.ask("a", units=6.0)
@@ -39,7 +39,7 @@
 
 
 def test_units_that_a_message_gave_back_are_not_reported_again(pair: HeldPair) -> None:
-    """Guards against a report for each client that leaves while the customer has other requests."""
+    """Guards against an extra report for each disconnected client of a customer with other requests."""
     pair.ask("b", units=1.0)
     pair.deliver_all()
     assert pair.counted() == pytest.approx(1.0, abs=0.03)
@@ -49,7 +49,7 @@
 
 
 def test_units_of_a_dropped_plan_are_not_given_back(pair: HeldPair) -> None:
-    """Guards against a report under an index that names another plan by now."""
+    """Guards against a report under a plan index that denotes another plan by then."""
     plans = (replace(PLAN, priority_factor=2.0),)
     pair.tell(pair.member, PolicyChange(SETTINGS.classes, plans, frozenset(), 2, (-1,)))
     pair.run(PAST_DELAY)
@@ -57,7 +57,7 @@
 
 
 def test_units_are_not_reported_where_the_leader_grants_slots() -> None:
-    """Guards against a report that the leader takes for the end of an attempt."""
+    """Guards against a report that the leader would take as the end of an attempt."""
     pair = HeldPair(SLOTS_PLAN)
     customer = pair.customer_at(pair.member)
     customer.take(-1.0)
