--- a/orchidhatch/gateway/grant_requests.py
+++ b/orchidhatch/gateway/grant_requests.py
@@ -87,9 +87,10 @@
         self.answers = 0
 
     def on_answer(self, counted: float) -> float:
-        """Apply an answer that `counted` units were counted; return the units that the next report returns.
+        """Apply an answer that `counted` units were counted, and return the units to give back.
 
-        Repeated answers may arrive in any order; those that grant the request all name the same units.
+        The next report gives them back. Repeated answers may arrive in any order; those that grant the
+        request all name the same units.
         """
         counted_before = self._counted_by_answers()
         self._advance(GrantEvent.ANSWERED)
@@ -201,7 +202,7 @@
     def find_answered_unnumbered(self, units: float) -> GrantRequest | None:
         """Return the request answered by a leader of the previous version; None for a duplicate answer.
 
-        It is the oldest one of so many units that awaits an answer; undecided requests take precedence.
+        It is the oldest request for `units` that awaits an answer; undecided requests take precedence.
         """
         in_order = sorted(self.by_number.values(), key=lambda grant: grant.opened_us)
         for state in GrantState:
--- a/orchidhatch/gateway/quota.py
+++ b/orchidhatch/gateway/quota.py
@@ -267,11 +267,11 @@
     # --- concurrency slots ---
 
     def attempt_began(self) -> None:
-        """Count one more attempt of the customer in flight."""
+        """Record that an attempt of the customer is in flight."""
         self.in_flight += 1
 
     def attempt_ended(self) -> None:
-        """Count one attempt of the customer in flight less."""
+        """Record that an attempt of the customer is no longer in flight."""
         self.in_flight -= 1
 
     def shares_slots(self) -> bool:
--- a/orchidhatch/gateway/quota_member.py
+++ b/orchidhatch/gateway/quota_member.py
@@ -206,7 +206,7 @@
         return answer
 
     def on_grant_answer(self, customer: Customer, message: GossipMessage) -> GrantAnswer | None:
-        """Settle the answered grant request; if it was decided already, return units it did not spend."""
+        """Settle the answered grant request; if nothing waits for it any longer, give unspent units back."""
         is_numbered = message.grant_number != NO_GRANT_NUMBER
         counted = counted_units(customer, message)
         grant = self.find_answered_grant(customer, message)
--- a/orchidhatch/gateway/spent_totals.py
+++ b/orchidhatch/gateway/spent_totals.py
@@ -125,7 +125,7 @@
 
 
 def total_difference(units: float, earlier_units: float) -> float:
-    """Return the change of a total modulo TOTAL_UNITS, which may be negative."""
+    """Return the change of a total, which wraps around at TOTAL_UNITS and may fall below 0."""
     difference = units - earlier_units
     if difference >= TOTAL_UNITS / 2:
         return difference - TOTAL_UNITS
