--- a/orchidhatch/gateway/quota_leader.py
+++ b/orchidhatch/gateway/quota_leader.py
@@ -85,8 +85,9 @@
         self.answer_report(customer, message, sender)
 
     def answer_report(self, customer: Customer, message: GossipMessage, sender: int) -> None:
-        """Answer a grant request, handle a slot request, and answer a report of spending if the level is
-        low.
+        """Answer a grant request, or handle a slot request and reported spending.
+
+        Reported spending is answered while the level is below half of the burst.
         """
         if message.kind is MessageKind.GRANT_REQUEST:
             self.answer_grant_request(customer, message, sender)
@@ -192,9 +193,7 @@
             self.slot_queues.pop(customer.key, None)
 
     def is_slot_for_own_requests(self, waiting_peers: int) -> bool:
-        """Return whether, by a random draw among all waiting gateways, a free slot is left to local
-        requests.
-        """
+        """Return whether a free slot is left to local requests, by a random draw among all that wait."""
         return self.context.random.random() * (1 + waiting_peers) < 1
 
     def answer_if_queued(self, peer: int, customer: Customer) -> None:
--- a/orchidhatch/gateway/quota_leaders.py
+++ b/orchidhatch/gateway/quota_leaders.py
@@ -236,9 +236,7 @@
         self.member.use_slot(customer)
 
     def renew(self) -> None:
-        """Send due reports of attempts in flight and of returned slots and units, and expire presumed
-        grants.
-        """
+        """Send due reports of attempts in flight and of returned units, and expire presumed grants."""
         self.member.renew(self.report_in_flight)
         self.member.send_due_reports()
         self.member.expire_presumed()
