--- a/orchidhatch/proxy/request_lifecycle.py
+++ b/orchidhatch/proxy/request_lifecycle.py
@@ -51,7 +51,7 @@
     def __init__(
         self,
         active: ActiveConfiguration,
-        figures: RequestMetrics,
+        request_metrics: RequestMetrics,
         post: Callable[[Event], None],
         guard: Guard | None = None,
         loop_watch: LoopWatch | None = None,
@@ -59,7 +59,7 @@
         self.loop_watch = loop_watch or LoopWatch()
         self.active = active
         self.guard = guard or Guard()
-        self.figures = figures
+        self.request_metrics = request_metrics
         self.post = post
         self.loop = asyncio.get_running_loop()
         self.open: dict[str, RequestExchange] = {}
@@ -105,7 +105,7 @@
         command = self.active.parser.parse(arguments, ANSWER_MARGIN_US, self._max_time_left_us(), unread_us)
         request = command.request
         if request.id in self.open or request.id in self.ended:
-            self.figures.note(self.active.class_names[request.class_index], RequestOutcome.ERRORED)
+            self.request_metrics.note(self.active.class_names[request.class_index], RequestOutcome.ERRORED)
             raise CommandError("this id is in use")
         exchange = RequestExchange(
             command,
@@ -386,7 +386,7 @@
 
     def _record_outcome(self, exchange: RequestExchange, outcome: RequestOutcome) -> None:
         request = exchange.command.request
-        self.figures.note(self.active.class_names[request.class_index], outcome)
+        self.request_metrics.note(self.active.class_names[request.class_index], outcome)
         if exchange.policy_digest:
             log.info(
                 "request %s %s by policy %s, taken at %d us",
--- a/orchidhatch/proxy/server.py
+++ b/orchidhatch/proxy/server.py
@@ -82,11 +82,11 @@
         self.max_descriptors = apply_descriptor_limit(config)
         self.core = GatewayCore(create_core_settings(config))
         self.dispatcher = EventDispatcher(self.core, self.account)
-        self.figures = RequestMetrics(config.class_numbers)
+        self.request_metrics = RequestMetrics(config.class_numbers)
         self.guard = Guard()
         self.loop_watch = LoopWatch(turn_us=poll_return_us)
         self.requests = RequestLifecycle(
-            self.active, self.figures, self.dispatcher.post, self.guard, self.loop_watch
+            self.active, self.request_metrics, self.dispatcher.post, self.guard, self.loop_watch
         )
         self._create_connections(config)
         self._create_endpoint_watch(config)
@@ -182,7 +182,7 @@
 
     def _create_metrics_page(self) -> MetricsPage:
         return MetricsPage(
-            self.figures,
+            self.request_metrics,
             self.dispatcher,
             self.requests,
             self.clients,
--- a/tests/proxy/test_graceful_drain.py
+++ b/tests/proxy/test_graceful_drain.py
@@ -47,7 +47,7 @@
         slow.send(b"".join(query(f"b{n}") for n in range(16)))
         while (
             not any(one.reader.buffer for one in gateway.clients.connections)
-            or sum(sum(ended.values()) for ended in gateway.figures.ended.values()) < 16
+            or sum(sum(ended.values()) for ended in gateway.request_metrics.ended.values()) < 16
         ):
             await asyncio.sleep(0)
         draining = await start_drain(gateway)
--- a/tests/proxy/test_handover.py
+++ b/tests/proxy/test_handover.py
@@ -191,7 +191,7 @@
             assert await busy.answer() == b"late" and await busy.ended()
             while new.core.handover_peer.in_flight:
                 await asyncio.sleep(0.01)
-            assert len(old.clients.connections) == 0 and new.figures.ended["read"]["answered"] == 1
+            assert len(old.clients.connections) == 0 and new.request_metrics.ended["read"]["answered"] == 1
 
     run(job())
 
--- a/tests/proxy/test_long_values.py
+++ b/tests/proxy/test_long_values.py
@@ -47,7 +47,7 @@
         rest = await client.reader.readexactly(len(LONG) - 1000 + 2)
         assert rest == LONG[1000:] + b"\r\n"
         await until(lambda: not gateway.requests.open and not gateway.core.requests)
-        assert gateway.figures.ended["read"][RequestOutcome.ANSWERED] == 1
+        assert gateway.request_metrics.ended["read"][RequestOutcome.ANSWERED] == 1
         backend.answer = lambda arguments: value(b"ok")
         assert await client.ask(query("a2")) == b"ok" and backend.opened == 1
 
@@ -80,7 +80,7 @@
             backend.writers[0].transport.abort()
         with pytest.raises((EOFError, ConnectionError)):
             await client.answer()
-        assert gateway.figures.ended["read"][RequestOutcome.ERRORED] == 1
+        assert gateway.request_metrics.ended["read"][RequestOutcome.ERRORED] == 1
         assert len(backend.commands) == 1
 
 
@@ -131,7 +131,7 @@
                 while left:
                     left -= len(await loop.sock_recv(client, 1 << 16))
         await until(lambda: not gateway.requests.open)
-        assert gateway.figures.ended["read"][RequestOutcome.ANSWERED] == count
+        assert gateway.request_metrics.ended["read"][RequestOutcome.ANSWERED] == count
 
 
 async def test_fast_backend_ends_before_a_slow_client() -> None:
