--- a/orchidhatch/proxy/event_dispatcher.py
+++ b/orchidhatch/proxy/event_dispatcher.py
@@ -88,7 +88,7 @@
         finally:
             self.account.leave(previous)
 
-    def ask(self, event: Event) -> Any:  # noqa: ANN401 - each query has its own type of answer
+    def query(self, event: Event) -> Any:  # noqa: ANN401 - each query has its own type of answer
         """Return the core's answer to a query, after processing all pending events."""
         self.run_batch()
         answers = []
--- a/orchidhatch/proxy/management_handlers.py
+++ b/orchidhatch/proxy/management_handlers.py
@@ -70,7 +70,7 @@
 
     def _set_maintenance(self, name: str, is_ejected: bool) -> Answer:
         """Eject or readmit a backend in the decision core and in the pools before the call is answered."""
-        result = self.dispatcher.ask(SetEjection(name, is_ejected))
+        result = self.dispatcher.query(SetEjection(name, is_ejected))
         if not result.is_accepted:
             return 404, "unknown backend"
         log.info(
--- a/orchidhatch/proxy/metrics_page.py
+++ b/orchidhatch/proxy/metrics_page.py
@@ -55,7 +55,7 @@
 
     def stats(self) -> str:
         """Return the counts of requests, and the number of listed and ejected backends."""
-        snapshot = self.dispatcher.ask(MetricsRequest())
+        snapshot = self.dispatcher.query(MetricsRequest())
         return self.request_metrics.text(
             sends_total=self.backends.attempts_written,
             current=len(self.requests.open),
@@ -175,7 +175,7 @@
         )
 
     def _queues(self) -> str:
-        snapshot = self.dispatcher.ask(MetricsRequest())
+        snapshot = self.dispatcher.query(MetricsRequest())
         queued_s = {f'reason="{reason}"': us / 1e6 for reason, us in sorted(self.queued_us.items())}
         unserved = {f'reason="{reason}"': count for reason, count in snapshot.ended}
         malformed = {
--- a/orchidhatch/proxy/process_handover.py
+++ b/orchidhatch/proxy/process_handover.py
@@ -102,7 +102,7 @@
 
     def create_handover_state(self) -> dict[str, Any]:
         """Return the fields of the state message for a successor."""
-        state = self.dispatcher.ask(StartHandover())
+        state = self.dispatcher.query(StartHandover())
         return {
             "state": to_plain(state),
             "known": self.catalog.snapshot(),
--- a/tests/proxy/gateway_scripts.py
+++ b/tests/proxy/gateway_scripts.py
@@ -17,7 +17,7 @@
 
 
 def queue_status(gateway: GatewayServer, name: str) -> QueueStatus:
-    statuses = gateway.queues.statuses(gateway.dispatcher.ask(MetricsRequest()))
+    statuses = gateway.queues.statuses(gateway.dispatcher.query(MetricsRequest()))
     return next(status for status in statuses if status.name == name)
 
 
--- a/tests/proxy/test_cpu_accounting.py
+++ b/tests/proxy/test_cpu_accounting.py
@@ -181,4 +181,4 @@
         busy, idle = [line for line in caplog.messages if line.startswith("cost: ")]
         assert "us a request" in busy and "us a request" not in idle
         assert gateway.account.idle_s > 0 and "module" in busy and "descriptors" in busy
-        assert isinstance(gateway.dispatcher.ask(MetricsRequest()), MetricsSnapshot)
+        assert isinstance(gateway.dispatcher.query(MetricsRequest()), MetricsSnapshot)
