--- a/orchidhatch/proxy/backend_pool.py
+++ b/orchidhatch/proxy/backend_pool.py
@@ -35,7 +35,7 @@
     connect_timeout_s: float
     read_buffer: memoryview
     attempts_written: int
-    held: int
+    connection_count: int
     attempts_without_socket: int
     ejected: set[str]
     idle_pools: dict["BackendPool", None]
@@ -110,7 +110,7 @@
         self.owner.tally["opened"] += 1
         connection = BackendConnection(self)
         self.connections.add(connection)  # before it is up, as the connection limit includes it
-        self.owner.held += 1
+        self.owner.connection_count += 1
         self.owner.spawn(self.connect(connection))
 
     async def connect(self, connection: BackendConnection) -> None:
@@ -218,7 +218,7 @@
         """Remove a connection that is closed or about to be closed."""
         if connection in self.connections:
             self.connections.remove(connection)
-            self.owner.held -= 1
+            self.owner.connection_count -= 1
         if connection in self.idle_connections:
             self.idle_connections.remove(connection)
         self._note_idle_connections()
--- a/orchidhatch/proxy/backends.py
+++ b/orchidhatch/proxy/backends.py
@@ -56,7 +56,7 @@
         self.connect_timeout_s = connect_timeout_us / 1e6
         self.max_connections = max_connections
         """The limit on the connections of all pools."""
-        self.held = 0
+        self.connection_count = 0
         """The number of connections of all pools."""
         self.others = 0
         """Connections of the other process of this gateway, during a handover."""
@@ -186,7 +186,7 @@
 
     def may_open(self) -> bool:
         """Return whether one more connection may be opened, closing the longest idle one if necessary."""
-        if self.held + self.others < self.max_connections:
+        if self.connection_count + self.others < self.max_connections:
             return True
         if not self.idle_pools:
             return False
@@ -226,7 +226,7 @@
         for pool in list(self.idle_pools):
             pool.close_idle(before_us)
         self.retired_pools = [pool for pool in self.retired_pools if pool.connections]
-        if self.held:
+        if self.connection_count:
             self.schedule_sweep()
 
     def schedule_sweep(self) -> None:
--- a/orchidhatch/proxy/metrics_page.py
+++ b/orchidhatch/proxy/metrics_page.py
@@ -152,7 +152,7 @@
     def _descriptors(self) -> str:
         holders = {
             "clients": len(self.clients.connections),
-            "backends": self.backends.held,
+            "backends": self.backends.connection_count,
             "management": len(self.management.connections),
         }
         open_count = open_descriptors()
--- a/orchidhatch/proxy/periodic_log.py
+++ b/orchidhatch/proxy/periodic_log.py
@@ -72,7 +72,7 @@
             len(self.requests.open),
             self.dispatcher.longest_batch_us / 1000,
             len(self.clients.connections),
-            self.backends.held,
+            self.backends.connection_count,
             sockets or "-",
         )
 
--- a/orchidhatch/proxy/process_handover.py
+++ b/orchidhatch/proxy/process_handover.py
@@ -122,7 +122,7 @@
 
     def socket_counts(self) -> tuple[int, int]:
         """Return the numbers of open sockets to clients and to backends."""
-        return len(self.clients.connections), self.backends.held
+        return len(self.clients.connections), self.backends.connection_count
 
     def set_peer_socket_counts(self, clients: int, backends: int) -> None:
         """Count the other process's sockets toward the limits that both processes share."""
--- a/tests/proxy/test_attempt_states.py
+++ b/tests/proxy/test_attempt_states.py
@@ -67,7 +67,7 @@
         assert attempt.state is AttemptState.ABANDONED and connection.state is BackendConnectionState.CLOSED
         assert sender.ended.empty()
         assert await sender.result() is AttemptResult.CANCELLED
-        assert attempt.state is AttemptState.ENDED and sender.backends.held == 0
+        assert attempt.state is AttemptState.ENDED and sender.backends.connection_count == 0
 
 
 async def test_dial_that_comes_up_after_its_pool_drains_is_closed() -> None:
@@ -79,6 +79,6 @@
         sender.backends.ban("s", True)
         assert attempt.state is AttemptState.ENDED
         assert await sender.result() is AttemptResult.LOCAL_FAILURE
-        while sender.backends.held:
+        while sender.backends.connection_count:
             await sender.turn()
         assert connection.state is BackendConnectionState.CLOSED
--- a/tests/proxy/test_backend_pool.py
+++ b/tests/proxy/test_backend_pool.py
@@ -169,7 +169,7 @@
     sender.send()
     assert await sender.result() is AttemptResult.OK
     await backend.left.wait()
-    assert sender.backends.held == 0
+    assert sender.backends.connection_count == 0
 
 
 async def test_timeout_or_reset_closes_idle_connections() -> None:
@@ -200,7 +200,7 @@
     sender.send()
     sender.send()
     assert await sender.result() is AttemptResult.LOCAL_FAILURE
-    assert sender.backends.held == 2
+    assert sender.backends.connection_count == 2
     first.cancel()
     assert await sender.result() is AttemptResult.CANCELLED
     await backend.came.wait()
@@ -252,7 +252,7 @@
         sender = Sender(await Backend(lambda arguments, claim=claim: claim).start())
         sender.send(timeout_us=20 * S)
         assert await asyncio.wait_for(sender.result(), 10) is AttemptResult.RESET
-        assert sender.backends.held == 0
+        assert sender.backends.connection_count == 0
         sender.backends.close()
 
 
--- a/tests/proxy/test_client_sweeper.py
+++ b/tests/proxy/test_client_sweeper.py
@@ -36,7 +36,7 @@
             await asyncio.sleep(0)
         for pool in gateway.backends.pools.values():
             pool.close_idle()
-        while gateway.backends.held:
+        while gateway.backends.connection_count:
             await asyncio.sleep(0)
         gateway.backends.sweep()
         assert not gateway.backends.sweep_is_scheduled
--- a/tests/proxy/test_cpu_accounting.py
+++ b/tests/proxy/test_cpu_accounting.py
@@ -151,7 +151,7 @@
         }
         assert all(spent.values()) and sum(spent.values()) <= found["proxy_cpu_seconds_total"]
         assert found['proxy_descriptors{holder="clients"}'] == 1
-        assert found['proxy_descriptors{holder="backends"}'] == gateway.backends.held > 0
+        assert found['proxy_descriptors{holder="backends"}'] == gateway.backends.connection_count > 0
         assert found["proxy_descriptors_limit"] == gateway.max_descriptors
         assert found["proxy_resident_bytes"] > 0 and found["proxy_peak_resident_bytes"] > 0
         assert gateway.account.category is CostCategory.LOOP
--- a/tests/proxy/test_local_failures.py
+++ b/tests/proxy/test_local_failures.py
@@ -91,7 +91,7 @@
     fail_connects(monkeypatch, backend_pool, 10_000, errno.ENOBUFS)
     sender.send()
     assert await sender.result() is AttemptResult.LOCAL_FAILURE
-    assert sender.backends.held == 0
+    assert sender.backends.connection_count == 0
     sender.backends.close()
 
 
@@ -112,7 +112,7 @@
     monkeypatch.setattr(backend_pool.BackendPool, "dial", dial)
     sender.send()
     assert await sender.result() is AttemptResult.LOCAL_FAILURE
-    assert sender.backends.held == 0 and sender.backends.pools["s"].connecting == 0
+    assert sender.backends.connection_count == 0 and sender.backends.pools["s"].connecting == 0
 
 
 async def waits_between_watches(found: EndpointWatcher, count: int) -> list[float]:
