--- a/orchidhatch/proxy/backends.py
+++ b/orchidhatch/proxy/backends.py
@@ -58,7 +58,7 @@
         """The limit on the connections of all pools."""
         self.connection_count = 0
         """The number of connections of all pools."""
-        self.others = 0
+        self.handover_peer_connections = 0
         """Connections of the other process of this gateway, during a handover."""
         self.pools: dict[str, BackendPool] = {}
         self.idle_pools: dict[BackendPool, None] = {}
@@ -186,7 +186,7 @@
 
     def may_open(self) -> bool:
         """Return whether one more connection may be opened, closing the longest idle one if necessary."""
-        if self.connection_count + self.others < self.max_connections:
+        if self.connection_count + self.handover_peer_connections < self.max_connections:
             return True
         if not self.idle_pools:
             return False
--- a/orchidhatch/proxy/process_handover.py
+++ b/orchidhatch/proxy/process_handover.py
@@ -127,7 +127,7 @@
     def set_peer_socket_counts(self, clients: int, backends: int) -> None:
         """Count the other process's sockets toward the limits that both processes share."""
         self.clients.handover_peer_connections = clients
-        self.backends.others = backends
+        self.backends.handover_peer_connections = backends
 
     def apply_peer_event(self, event: Event) -> None:
         """Apply an event of the other process, including an operator's ejection of a backend."""
