--- a/orchidhatch/proxy/backends.py
+++ b/orchidhatch/proxy/backends.py
@@ -107,7 +107,7 @@
             if not pool.accepts_new_attempts():
                 pool.drain()
 
-    def ban(self, name: str, is_ejected: bool) -> None:
+    def set_ejected(self, name: str, is_ejected: bool) -> None:
         """Eject a backend at an operator's request, or readmit it; endpoint lists do not override this."""
         if not is_ejected:
             self.ejected.discard(name)
--- a/orchidhatch/proxy/management_handlers.py
+++ b/orchidhatch/proxy/management_handlers.py
@@ -76,7 +76,7 @@
         log.info(
             "operator changed backend: server=%s state=%s", name, "ejected" if is_ejected else "readmitted"
         )
-        self.backends.ban(name, is_ejected)
+        self.backends.set_ejected(name, is_ejected)
         return 200, "left out" if is_ejected else "may serve again"
 
     def leave_service(self) -> Answer:
--- a/orchidhatch/proxy/process_handover.py
+++ b/orchidhatch/proxy/process_handover.py
@@ -96,7 +96,7 @@
         self.dispatcher.post(state)
         self.dispatcher.run_batch()
         for ejection in state.ejections:
-            self.backends.ban(ejection.server, ejection.is_ejected)
+            self.backends.set_ejected(ejection.server, ejection.is_ejected)
 
     # --- as predecessor ---
 
@@ -133,7 +133,7 @@
         """Apply an event of the other process, including an operator's ejection of a backend."""
         self.dispatcher.post(event)
         if isinstance(event, HandoverEjection):
-            self.backends.ban(event.server, event.is_ejected)
+            self.backends.set_ejected(event.server, event.is_ejected)
 
     def send_to_handover_peer(self, action: HandoverMessage) -> None:
         """Send a message of the decision core to the other process, if there is one."""
--- a/tests/proxy/test_attempt_states.py
+++ b/tests/proxy/test_attempt_states.py
@@ -76,7 +76,7 @@
         attempt = sender.send()
         (connection,) = sender.backends.pools["s"].connections
         assert connection.state is BackendConnectionState.CONNECTING
-        sender.backends.ban("s", True)
+        sender.backends.set_ejected("s", True)
         assert attempt.state is AttemptState.ENDED
         assert await sender.result() is AttemptResult.LOCAL_FAILURE
         while sender.backends.connection_count:
