--- a/orchidhatch/proxy/client_connection.py
+++ b/orchidhatch/proxy/client_connection.py
@@ -436,7 +436,7 @@
         """Close if the client has disconnected, even if that is still unread; return whether it has."""
         if self.transport is None:
             return False
-        if not self.transport.is_closing() and not socket_inspection.left(self.transport):
+        if not self.transport.is_closing() and not socket_inspection.has_peer_closed(self.transport):
             return False
         self.clients.metrics.closes[CloseReason.CLIENT_LEFT] += 1
         self.abandon_replies()
--- a/orchidhatch/proxy/socket_inspection.py
+++ b/orchidhatch/proxy/socket_inspection.py
@@ -32,7 +32,7 @@
     return pending_events(transport, select.POLLIN) != 0
 
 
-def left(transport: asyncio.BaseTransport) -> bool:
+def has_peer_closed(transport: asyncio.BaseTransport) -> bool:
     """Return whether the peer has closed the connection, even if data before the close is unread."""
     return pending_events(transport, select.POLLRDHUP) != 0
 
--- a/tests/proxy/test_attempt_endings.py
+++ b/tests/proxy/test_attempt_endings.py
@@ -64,7 +64,7 @@
         send = BackendConnection.send
 
         def sent(connection: BackendConnection, following: Attempt) -> None:
-            closed.append(socket_inspection.left(first.writers[-1].transport))
+            closed.append(socket_inspection.has_peer_closed(first.writers[-1].transport))
             send(connection, following)
 
         monkeypatch.setattr(BackendConnection, "send", sent)
