--- a/orchidhatch/proxy/attempt.py
+++ b/orchidhatch/proxy/attempt.py
@@ -251,7 +251,7 @@
         connection = self.connection
         if connection is None or not connection.is_usable():
             return False
-        return socket_inspection.unread(connection.transport)
+        return socket_inspection.has_unread_bytes(connection.transport)
 
     def _time_out_now(self) -> None:
         if not self.was_written:
--- a/orchidhatch/proxy/client_connection.py
+++ b/orchidhatch/proxy/client_connection.py
@@ -234,11 +234,11 @@
         if now_s < self.command_deadline_s:
             return False
         # After a stall of the event loop, timers run before bytes that arrived meanwhile are read.
-        return not socket_inspection.unread(self.transport)
+        return not socket_inspection.has_unread_bytes(self.transport)
 
     def has_unfinished_command(self) -> bool:
         """Return whether a command was read in part, or bytes are unread at the socket."""
-        return bool(self.reader.buffer) or socket_inspection.unread(self.transport)
+        return bool(self.reader.buffer) or socket_inspection.has_unread_bytes(self.transport)
 
     # --- answers ---
 
@@ -381,7 +381,9 @@
         if self._refuse_if_unanswered(CloseReason.BETWEEN_REQUESTS):
             return
         self.clients.metrics.closes[CloseReason.BETWEEN_REQUESTS] += 1
-        if not self.transport.get_write_buffer_size() and not socket_inspection.unread(self.transport):
+        if not self.transport.get_write_buffer_size() and not socket_inspection.has_unread_bytes(
+            self.transport
+        ):
             self._enter(ConnectionState.CLOSING)
             self.transport.close()
         else:
--- a/orchidhatch/proxy/socket_inspection.py
+++ b/orchidhatch/proxy/socket_inspection.py
@@ -18,7 +18,7 @@
     return transport.get_extra_info("socket").fileno()
 
 
-def unread(transport: asyncio.BaseTransport) -> bool:
+def has_unread_bytes(transport: asyncio.BaseTransport) -> bool:
     """Return whether received bytes are unread; False for a closed socket."""
     try:
         unread_count = fcntl.ioctl(descriptor_of(transport), termios.FIONREAD, NO_BYTES)
--- a/orchidhatch/proxy/watch_connection.py
+++ b/orchidhatch/proxy/watch_connection.py
@@ -130,7 +130,11 @@
     def has_unread(self) -> bool:
         """Return whether received bytes are unread."""
         transport = self.transport
-        return transport is not None and not transport.is_closing() and socket_inspection.unread(transport)
+        return (
+            transport is not None
+            and not transport.is_closing()
+            and socket_inspection.has_unread_bytes(transport)
+        )
 
     def close(self) -> None:
         """Abort the connection."""
--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -127,7 +127,7 @@
         client.writer.transport.pause_reading()
         client.send(query("a2"))
         (connection,) = gateway.clients.connections
-        while not socket_inspection.unread(connection.transport):
+        while not socket_inspection.has_unread_bytes(connection.transport):
             await asyncio.sleep(0)
         backend.writers[0].write(value(LONG_VALUE))
         while (
