--- a/orchidhatch/proxy/management.py
+++ b/orchidhatch/proxy/management.py
@@ -41,7 +41,7 @@
     allowed_methods: str = ""
 
 
-class Calls:
+class CallRouter:
     """The handlers by method and path; the segment that PARAMETER matches is passed to the handler."""
 
     def __init__(self, calls: dict[tuple[str, str], Callable[..., Answer]]) -> None:
@@ -178,7 +178,7 @@
 class Management:
     """The management server; at its connection limit, a new connection evicts the oldest one."""
 
-    def __init__(self, calls: Calls, account: CpuAccounting | None = None) -> None:
+    def __init__(self, calls: CallRouter, account: CpuAccounting | None = None) -> None:
         self.calls = calls
         self.account = account or CpuAccounting()
         self.connections: dict[CallConnection, None] = {}
--- a/orchidhatch/proxy/server.py
+++ b/orchidhatch/proxy/server.py
@@ -42,7 +42,7 @@
 from orchidhatch.proxy.local_errors import error_name, retry_local
 from orchidhatch.proxy.log_writer import LogWriter
 from orchidhatch.proxy.loop_watch import LoopWatch, poll_return_us
-from orchidhatch.proxy.management import Calls, Management
+from orchidhatch.proxy.management import CallRouter, Management
 from orchidhatch.proxy.management_handlers import ManagementHandlers
 from orchidhatch.proxy.metrics import RequestMetrics
 from orchidhatch.proxy.metrics_page import MetricsPage
@@ -156,7 +156,7 @@
 
     def _create_operations(self, config: Config, writer: LogWriter | None) -> None:
         # The management server and the metrics page refer to each other, so the server's calls are set last.
-        self.management = Management(Calls({}), self.account)
+        self.management = Management(CallRouter({}), self.account)
         self.queues = WorkQueues(
             self.clients,
             self.backends,
@@ -175,7 +175,7 @@
             self.backends,
             self.metrics_page,
         )
-        self.management.calls = Calls(self.management_handlers.routes())
+        self.management.calls = CallRouter(self.management_handlers.routes())
         self.periodic_log = PeriodicLog(
             self.requests, self.dispatcher, self.clients, self.backends, self.account, self.max_descriptors
         )
