--- a/orchidhatch/proxy/loop_watch.py
+++ b/orchidhatch/proxy/loop_watch.py
@@ -31,7 +31,7 @@
 
 
 class LoopWatch:
-    """Detects gaps; `is_suspicious` is set for some event loop turns after a gap.
+    """Detects gaps; `is_after_gap` is set for some event loop turns after a gap.
 
     `touch` is called wherever work begins. Input that is read in a turn may have arrived at any time since
     the poll of the turn before. `turn_us` returns the time of the current turn's poll; without it, each touch
@@ -53,7 +53,7 @@
         self.is_reading_backlog = False
         """Whether connections that are accepted now may have been waiting since the gap."""
         self._timer: asyncio.TimerHandle | None = None
-        self.is_suspicious = False
+        self.is_after_gap = False
 
     def start(self) -> None:
         """Touch the loop now and periodically, even while nothing else happens."""
@@ -73,12 +73,12 @@
             self._this_turn_us = turn_us
         self._touched_us = self._clock_us()
         gap_us = self._touched_us - self._previous_turn_us
-        if gap_us >= GAP_US and not self.is_suspicious:
-            self.is_suspicious = True
+        if gap_us >= GAP_US and not self.is_after_gap:
+            self.is_after_gap = True
             self._unread_since_us = max(self._created_us, self._previous_turn_us)
             self._wait_turns(TURNS_AFTER_GAP)
             self._begin_backlog()
-        return self.is_suspicious
+        return self.is_after_gap
 
     def _begin_backlog(self) -> None:
         self._turns_since_accept = 0
@@ -114,4 +114,4 @@
         if turns:
             asyncio.get_running_loop().call_soon(self._wait_turns, turns - 1)
         else:
-            self.is_suspicious = False
+            self.is_after_gap = False
--- a/tests/proxy/test_graceful_drain.py
+++ b/tests/proxy/test_graceful_drain.py
@@ -201,7 +201,7 @@
     for _ in range(2 * TURNS_AFTER_GAP):
         watch.touch()
         await asyncio.sleep(0)
-    assert not watch.is_suspicious
+    assert not watch.is_after_gap
     process = ProcessLifecycle(Mock(), Mock(), Mock(loop_watch=watch))
     is_noting[0] = True
     process.note_termination()
--- a/tests/proxy/test_guards.py
+++ b/tests/proxy/test_guards.py
@@ -300,17 +300,17 @@
     now = [1_000_000]
     watch = LoopWatch(lambda: now[0])
     watch.touch()  # the first of all
-    assert watch.is_suspicious
+    assert watch.is_after_gap
     for _ in range(TURNS_AFTER_GAP + 1):
         await asyncio.sleep(0)
-    assert not watch.is_suspicious
+    assert not watch.is_after_gap
     now[0] += GAP_US - 1
     watch.touch()
-    assert not watch.is_suspicious
+    assert not watch.is_after_gap
     now[0] += GAP_US
     watch.touch()
     watch.touch()
-    assert watch.is_suspicious
+    assert watch.is_after_gap
 
 
 async def test_backlog_of_a_gap_ends_with_the_first_turns_without_an_accept() -> None:
