--- a/orchidhatch/proxy/process_handover.py
+++ b/orchidhatch/proxy/process_handover.py
@@ -39,7 +39,7 @@
         dispatcher: EventDispatcher,
         clients: Clients,
         backends: Backends,
-        catalog: EndpointListReader,
+        endpoint_list_reader: EndpointListReader,
         apply_endpoints: Callable[[EndpointUpdate], None],
         stop_listening: Callable[[], None],
     ) -> None:
@@ -51,7 +51,7 @@
         self.dispatcher = dispatcher
         self.clients = clients
         self.backends = backends
-        self.catalog = catalog
+        self.endpoint_list_reader = endpoint_list_reader
         self.apply_endpoints = apply_endpoints
         self.stop_listening = stop_listening
         self.peer = HandoverPeer(self, shared_directory / HANDOVER_SOCKET) if shared_directory else None
@@ -89,9 +89,15 @@
 
     def resume(self, state: GatewaySnapshot, known: Mapping[str, Any]) -> None:
         """Restore the predecessor's state, and its endpoint list if it is newer than this process's own."""
-        self.catalog.adopt_starts(known, {server.name: server.started_us for server in state.servers})
-        newest = known if known["generation"] > self.catalog.version else self.catalog.snapshot()
-        self.apply_endpoints(self.catalog.read(newest, EndpointListKind.FULL))
+        self.endpoint_list_reader.adopt_starts(
+            known, {server.name: server.started_us for server in state.servers}
+        )
+        newest = (
+            known
+            if known["generation"] > self.endpoint_list_reader.version
+            else self.endpoint_list_reader.snapshot()
+        )
+        self.apply_endpoints(self.endpoint_list_reader.read(newest, EndpointListKind.FULL))
         self.dispatcher.run_batch()
         self.dispatcher.post(state)
         self.dispatcher.run_batch()
@@ -105,7 +111,7 @@
         state = self.dispatcher.query(StartHandover())
         return {
             "state": to_plain(state),
-            "known": self.catalog.snapshot(),
+            "known": self.endpoint_list_reader.snapshot(),
             "count": self.socket_counts(),
             **optional_fields(state),
         }
--- a/orchidhatch/proxy/server.py
+++ b/orchidhatch/proxy/server.py
@@ -120,11 +120,11 @@
         self.peers.policy_mark = config.settings.policy_mark
 
     def _create_endpoint_watch(self, config: Config) -> None:
-        self.catalog = EndpointListReader(config)
+        self.endpoint_list_reader = EndpointListReader(config)
         known_update = self._apply_known_endpoints(config)
         self.discovery = EndpointWatcher(
             config.discovery,
-            self.catalog,
+            self.endpoint_list_reader,
             known_update.event.version if known_update else 0,
             self.apply_endpoints,
             config.settings.seed,
@@ -146,7 +146,7 @@
             self.dispatcher,
             self.clients,
             self.backends,
-            self.catalog,
+            self.endpoint_list_reader,
             self.apply_endpoints,
             self._stop_listening,
         )
@@ -226,7 +226,7 @@
         if not config.known_endpoint_list:
             return None
         try:
-            update = self.catalog.read(config.known_endpoint_list, EndpointListKind.SAVED)
+            update = self.endpoint_list_reader.read(config.known_endpoint_list, EndpointListKind.SAVED)
         except (KeyError, TypeError, ValueError) as error:
             log.error("saved endpoint list malformed: error=%s", error)
             return None
@@ -265,7 +265,7 @@
 
     async def _wait_for_endpoints(self) -> None:
         """Wait briefly for an endpoint list: one newer than the saved list, or any if none is saved."""
-        is_known = bool(self.catalog.entries)
+        is_known = bool(self.endpoint_list_reader.entries)
         received = self.discovery.has_accepted_watch if is_known else self.discovery.has_update
         timeout_s = NEWER_LIST_TIMEOUT_S if is_known else FIRST_LIST_TIMEOUT_S
         try:
--- a/tests/control/agent/test_replication.py
+++ b/tests/control/agent/test_replication.py
@@ -113,10 +113,10 @@
             await until(lambda: agent.replicator.connected)
             gateway = GatewayServer(replace(CONFIG, discovery=address_of(first)))
             await gateway.start()
-            await until(lambda: "s-False" in gateway.catalog.entries)
+            await until(lambda: "s-False" in gateway.endpoint_list_reader.entries)
             client = await Client.open(gateway.server.sockets[0].getsockname())
             assert await client.ask(query("a0")) == b"ok" and len(backends[0].commands) == 1
             gateway.reload(replace(gateway.active.config, discovery=address_of(agent)))
-            await until(lambda: list(gateway.catalog.entries) == ["s-True"])
+            await until(lambda: list(gateway.endpoint_list_reader.entries) == ["s-True"])
             assert await client.ask(query("a1")) == b"ok" and len(backends[1].commands) == 1
             gateway.close()
--- a/tests/control/agent/test_service.py
+++ b/tests/control/agent/test_service.py
@@ -69,24 +69,24 @@
     gateway = GatewayServer(replace(CONFIG, discovery=at))
     await gateway.start()
     client = await Client.open(gateway.server.sockets[0].getsockname())
-    await until(lambda: gateway.catalog.entries)
+    await until(lambda: gateway.endpoint_list_reader.entries)
     assert await client.ask(query("a0")) == b"ok"
     for process in (registry, one):
         process.send_signal(signal.SIGKILL)
         await process.wait()
     assert await client.ask(query("a1")) == b"ok"
-    version = gateway.catalog.version
+    version = gateway.endpoint_list_reader.version
     one = await agent()  # with no registry: the list that it had
     fresh = GatewayServer(replace(CONFIG, discovery=at))
     await fresh.start()
-    await until(lambda: fresh.catalog.entries)
+    await until(lambda: fresh.endpoint_list_reader.entries)
     other = await Client.open(fresh.server.sockets[0].getsockname())
     assert await other.ask(query("b0")) == b"ok"
     registry = await start(tmp_path / "r.db", listen)
     assert (await call(listen, "POST /entries/s-1/lifecycle", b'{"lifecycle":"DRAINING"}'))[0] == 200
     for found in (gateway, fresh):
-        await until(lambda found=found: found.catalog.entries["s-1"]["lifecycle"] == "DRAINING")
-        assert found.catalog.version > version
+        await until(lambda found=found: found.endpoint_list_reader.entries["s-1"]["lifecycle"] == "DRAINING")
+        assert found.endpoint_list_reader.version > version
         found.close()
     for process in (registry, one):
         process.send_signal(signal.SIGTERM)
--- a/tests/control/registry/test_command.py
+++ b/tests/control/registry/test_command.py
@@ -86,7 +86,7 @@
     assert await client.ask(query("a0")) == b"ok"
     drain = await call(listen, "POST /entries/s-0/lifecycle", b'{"lifecycle":"DRAINING"}')
     assert drain[0] == 200
-    while gateway.catalog.version < drain[1]["version"]:
+    while gateway.endpoint_list_reader.version < drain[1]["version"]:
         await asyncio.sleep(0.001)
     before = len(backends[0].commands)
     for number in range(20):
@@ -97,7 +97,7 @@
     assert await client.ask(query("c0")) == b"ok"
     process = await start(path, listen)
     assert (await call(listen, "DELETE /entries/s-0"))[0] == 200
-    while len(gateway.catalog.entries) > 1:
+    while len(gateway.endpoint_list_reader.entries) > 1:
         await asyncio.sleep(0.01)
     assert await client.ask(query("d0")) == b"ok"
     gateway.close()
--- a/tests/control/registry/test_replication.py
+++ b/tests/control/registry/test_replication.py
@@ -226,15 +226,15 @@
     """Kill a registry amid its work, and have the replica go on; the gateway is sent what comes after."""
     while len((await call(replica, "GET /catalog/members"))[1]["instances"]) < 2:
         await asyncio.sleep(0.01)
-    version = gateway.catalog.version
+    version = gateway.endpoint_list_reader.version
     first.send_signal(signal.SIGKILL)
     await first.wait()
     while (await call(replica, "GET /healthcheck"))[1]["connected"]:
         await asyncio.sleep(0.01)
     assert (await client(replica, "promote"))[0] == 0
     assert (await client(replica, "drain", "s-0"))[0] == 0
-    await until(lambda: gateway.catalog.entries["s-0"]["lifecycle"] == "DRAINING")
-    assert gateway.catalog.version > version and len(gateway.catalog.entries) == 2
+    await until(lambda: gateway.endpoint_list_reader.entries["s-0"]["lifecycle"] == "DRAINING")
+    assert gateway.endpoint_list_reader.version > version and len(gateway.endpoint_list_reader.entries) == 2
 
 
 async def test_promotion_amid_traffic_loses_no_request(tmp_path: Path) -> None:
@@ -251,7 +251,7 @@
     gateway = GatewayServer(replace(CONFIG, discovery=agent_address))
     await gateway.start()
     traffic = Traffic(await Client.open(gateway.server.sockets[0].getsockname()))
-    await until(lambda: len(gateway.catalog.entries) == 2)
+    await until(lambda: len(gateway.endpoint_list_reader.entries) == 2)
     sending = asyncio.create_task(traffic.run())
     await replace_registry(first, at2, gateway)
     commands_before = len(backends[0].commands)
--- a/tests/proxy/gateway_scripts.py
+++ b/tests/proxy/gateway_scripts.py
@@ -28,7 +28,9 @@
 def announce_endpoints(gateway: GatewayServer, *entries: dict[str, object]) -> None:
     """Changes of the endpoint list, as the watch hands them on."""
     gateway.apply_endpoints(
-        gateway.catalog.read(json.loads(catalog(gateway.catalog.version + 1, entries, reset=False)))
+        gateway.endpoint_list_reader.read(
+            json.loads(catalog(gateway.endpoint_list_reader.version + 1, entries, reset=False))
+        )
     )
 
 
--- a/tests/proxy/test_closing_races.py
+++ b/tests/proxy/test_closing_races.py
@@ -74,7 +74,7 @@
     discovery = await Watch(script).start()
     async with front_door(Backend()) as (gateway, _):
         gateway.discovery.move(discovery)
-        while gateway.catalog.version != 9:
+        while gateway.endpoint_list_reader.version != 9:
             await asyncio.sleep(0.01)
 
 
@@ -97,7 +97,7 @@
         gateway.discovery.move(discovery)
         while len(watch.targets) < 3:
             await asyncio.sleep(0.01)
-        assert gateway.catalog.version == 7
+        assert gateway.endpoint_list_reader.version == 7
 
 
 async def test_partial_answer_at_a_close_ends_the_attempt_once() -> None:
--- a/tests/proxy/test_leaving_backends.py
+++ b/tests/proxy/test_leaving_backends.py
@@ -28,7 +28,7 @@
         gateway, {"instanceId": "s0", "lifecycle": "DELETED"}
     ),
     "not in the whole list": lambda gateway, backend: gateway.apply_endpoints(
-        gateway.catalog.read(json.loads(catalog(gateway.catalog.version + 1, [])))
+        gateway.endpoint_list_reader.read(json.loads(catalog(gateway.endpoint_list_reader.version + 1, [])))
     ),
     "left out at the other process": lambda gateway, backend: gateway.handover.apply_peer_event(
         HandoverEjection("s0", True)
