--- a/orchidhatch/proxy/clients.py
+++ b/orchidhatch/proxy/clients.py
@@ -138,7 +138,7 @@
             if not connection.has_unfinished_command():
                 connection.close()
 
-    def read_no_more(self) -> None:
+    def stop_reading(self) -> None:
         """Drain, and stop reading on each connection after its unanswered commands or its next command."""
         self.drain()
         self.is_reading_stopped = True
--- a/orchidhatch/proxy/operator_drain.py
+++ b/orchidhatch/proxy/operator_drain.py
@@ -63,7 +63,7 @@
         await asyncio.sleep(LATE_CONNECTION_GRACE_S)
         self.clients.drain()
         await asyncio.sleep(called_s + READ_PERIOD_S - loop.time())
-        self.clients.read_no_more()
+        self.clients.stop_reading()
         if (
             self.policy_guard.policy
         ):  # a late client must not be admitted under a policy that may have expired
--- a/orchidhatch/proxy/process_lifecycle.py
+++ b/orchidhatch/proxy/process_lifecycle.py
@@ -81,7 +81,7 @@
         if not was_replaced:
             self.clients.accepts_clients = False
             await asyncio.sleep(LATE_CONNECTIONS_S)
-        self.clients.read_no_more()
+        self.clients.stop_reading()
         while not await self.all_clients_left():
             self.clients.drain()
         close()
--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -123,7 +123,7 @@
         client = await Client.open(address)
         client.send(query("a1"))
         await backend.came.wait()
-        gateway.clients.read_no_more()
+        gateway.clients.stop_reading()
         client.writer.transport.pause_reading()
         client.send(query("a2"))
         (connection,) = gateway.clients.connections
--- a/tests/proxy/test_connection_state.py
+++ b/tests/proxy/test_connection_state.py
@@ -128,7 +128,7 @@
     """The rows from STREAMING over ANSWERING and IDLE to CLOSING."""
     backend = Backend(lambda arguments: HEAD + LONG[:1000])
     async with streaming_client(backend) as (gateway, client, connection):
-        gateway.clients.read_no_more()
+        gateway.clients.stop_reading()
         assert connection.state is STREAMING
         backend.writers[0].write(LONG[1000:] + TAIL)
         assert await client.reader.readexactly(len(LONG) - 1000 + 2) == LONG[1000:] + b"\r\n"
--- a/tests/proxy/test_graceful_drain.py
+++ b/tests/proxy/test_graceful_drain.py
@@ -144,14 +144,14 @@
     """Only the kernel has accepted it by then, and its request lies there."""
 
     async with front_door(Backend()) as (gateway, address):
-        late, read_no_more = socket.socket(), gateway.clients.read_no_more
+        late, stop_reading = socket.socket(), gateway.clients.stop_reading
 
         def meanwhile() -> None:
-            read_no_more()
+            stop_reading()
             late.connect(address)
             late.sendall(query("a1"))
 
-        monkeypatch.setattr(gateway.clients, "read_no_more", meanwhile)
+        monkeypatch.setattr(gateway.clients, "stop_reading", meanwhile)
         await gateway.drain()
         late.settimeout(5)
         assert late.recv(100) == b"$2\r\nok\r\n" and late.recv(100) == b""
