--- a/orchidhatch/proxy/operator_drain.py
+++ b/orchidhatch/proxy/operator_drain.py
@@ -32,7 +32,7 @@
         self.task: asyncio.Task[None] | None = None
         """The drain in progress or finished, until it is undone."""
 
-    def connect(self, policy_guard: PolicyGuard) -> None:
+    def set_policy_guard(self, policy_guard: PolicyGuard) -> None:
         """Set the policy guard, which is itself created with `suspend_admission`."""
         self.policy_guard = policy_guard
 
--- a/orchidhatch/proxy/server.py
+++ b/orchidhatch/proxy/server.py
@@ -93,7 +93,7 @@
         self._create_process(config)
         self._create_operations(config, writer)
         self.requests.set_collaborators(self.clients, self.backends, self.policy_guard)
-        self.operator_drain.connect(self.policy_guard)
+        self.operator_drain.set_policy_guard(self.policy_guard)
         self.dispatcher.set_handlers(self.action_handlers(), self.requests.fail_on_internal_error)
 
     def _create_connections(self, config: Config) -> None:
