--- a/orchidhatch/proxy/config.py
+++ b/orchidhatch/proxy/config.py
@@ -86,7 +86,7 @@
     return host, int(port)
 
 
-def read_backend(text: str) -> Address:
+def parse_backend_address(text: str) -> Address:
     """Return a backend's address.
 
     Raises ConfigError for a host name, as resolving it would block the event loop.
--- a/orchidhatch/proxy/endpoint_list_reader.py
+++ b/orchidhatch/proxy/endpoint_list_reader.py
@@ -7,7 +7,7 @@
 
 from orchidhatch.gateway.endpoints import Endpoint, EndpointListKind, EndpointState
 from orchidhatch.gateway.events import EndpointList
-from orchidhatch.proxy.config import Address, Config, ConfigError, read_backend
+from orchidhatch.proxy.config import Address, Config, ConfigError, parse_backend_address
 from orchidhatch.proxy.start_times import KnownStart, StartTimes
 
 log = logging.getLogger(__name__)
@@ -57,7 +57,7 @@
                 endpoint = self._read_endpoint(entry)
                 # A removed endpoint needs no address, and its removal must not be missed for lack of one.
                 if endpoint.state is not EndpointState.GONE:
-                    addresses[endpoint.name] = read_backend(entry["hostPort"])
+                    addresses[endpoint.name] = parse_backend_address(entry["hostPort"])
             except MALFORMED_ENTRY as error:
                 log.error("endpoint list entry malformed: error=%s entry=%.200r", error, entry)
                 continue
