--- a/orchidhatch/proxy/client_connection.py
+++ b/orchidhatch/proxy/client_connection.py
@@ -92,7 +92,7 @@
         """When the awaited command must be complete; None if none is awaited."""
         self.read_paused_s = 0.0
         self.write_paused_s = 0.0
-        self.progress_s = 0.0
+        self.last_progress_s = 0.0
         """When the client last read some of the unsent bytes."""
         self.linger_until_s = 0.0
         self.arrived_us = 0
@@ -318,7 +318,7 @@
         """Pause reading commands, as the client reads too slowly and the write buffer is full."""
         self.is_write_paused = True
         self.write_paused_s = self.now_s()
-        self.progress_s = self.write_paused_s
+        self.last_progress_s = self.write_paused_s
         self.update_unsent_bytes()
         self.update_reading()
 
@@ -342,7 +342,7 @@
             blocked_bytes = sum(len(reply.data) for reply in self.replies if reply.data)
             unsent_bytes = self.transport.get_write_buffer_size() + blocked_bytes
         if unsent_bytes < self.unsent_bytes or not self.unsent_bytes:
-            self.progress_s = self.now_s()
+            self.last_progress_s = self.now_s()
         self.clients.backlog.unsent_bytes += unsent_bytes - self.unsent_bytes
         self.unsent_bytes = unsent_bytes
         if unsent_bytes:
--- a/orchidhatch/proxy/client_sweeper.py
+++ b/orchidhatch/proxy/client_sweeper.py
@@ -80,7 +80,7 @@
         """
         backlog = self.clients.backlog
         for connection in self._slow_readers():
-            stalled_s = now_s - connection.progress_s
+            stalled_s = now_s - connection.last_progress_s
             is_over_limit = backlog.unsent_bytes > backlog.shed_limit_bytes()
             if stalled_s < SEND_STALL_TIMEOUT_S and not is_over_limit:
                 break
@@ -93,7 +93,7 @@
             for connection in self.connections
             if connection.unsent_bytes and not any(reply.source for reply in connection.replies)
         ]
-        return sorted(waiting, key=lambda connection: connection.progress_s)
+        return sorted(waiting, key=lambda connection: connection.last_progress_s)
 
     def _close_slow_reader(self, connection: ClientConnection, stalled_s: float) -> None:
         log.warning(
--- a/orchidhatch/proxy/reply.py
+++ b/orchidhatch/proxy/reply.py
@@ -54,10 +54,10 @@
 
     `data` is the part that is ready and not yet written, None before any part is ready. A long answer is
     streamed: its chunks come from `source`, which is paused while they cannot be sent. `request_id` is the id
-    of the answered request, None for other commands. `progress_s` is the time of the last chunk.
+    of the answered request, None for other commands. `last_progress_s` is the time of the last chunk.
     """
 
-    __slots__ = ("connection", "data", "is_complete", "is_paused", "progress_s", "request_id", "source")
+    __slots__ = ("connection", "data", "is_complete", "is_paused", "last_progress_s", "request_id", "source")
 
     def __init__(self, connection: ReplyConnection, data: bytes | None = None) -> None:
         """Create an answer; `data` is the complete answer if it is already known."""
@@ -67,7 +67,7 @@
         self.request_id: str | None = None
         self.source: ReplySource | None = None
         self.is_paused = False
-        self.progress_s = 0.0
+        self.last_progress_s = 0.0
 
     def send(self, data: bytes) -> None:
         """Send the complete answer, or its last chunk; ignored if the answer is already complete."""
@@ -83,7 +83,7 @@
         """Start to stream the answer; `data` is its first part."""
         self.data = data
         self.source = source
-        self.progress_s = self.connection.now_s()
+        self.last_progress_s = self.connection.now_s()
         self.connection.begin_stream()
 
     def is_last(self) -> bool:
@@ -108,7 +108,7 @@
     def append(self, data: bytes) -> None:
         """Send a further chunk; pause the source while the client is slow and the backlog is too large."""
         self.data += data
-        self.progress_s = self.connection.now_s()
+        self.last_progress_s = self.connection.now_s()
         self.connection.flush()
         self.connection.update_unsent_bytes()
         if self.connection.is_write_paused or self.data:
--- a/orchidhatch/proxy/request_lifecycle.py
+++ b/orchidhatch/proxy/request_lifecycle.py
@@ -343,7 +343,7 @@
         exchange = self.open.get(request_id)
         if exchange is None:
             return
-        remaining_s = exchange.reply.progress_s + SEND_STALL_TIMEOUT_S - self.clients.clock()
+        remaining_s = exchange.reply.last_progress_s + SEND_STALL_TIMEOUT_S - self.clients.clock()
         if remaining_s > 0:
             exchange.timer = self.loop.call_later(remaining_s, self._check_stall, request_id)
         else:
