--- a/orchidhatch/control/ownership/claims.py
+++ b/orchidhatch/control/ownership/claims.py
@@ -94,7 +94,7 @@
         changed = [owned for (changed_kind, _), owned in self.changed.items() if changed_kind == kind]
         yield from [owned for owned in changed if owned is not None]
 
-    def check(self, fence: Fence | None) -> None:
+    def check_fence(self, fence: Fence | None) -> None:
         """Raise ConflictError unless the claim is held at the epoch of the fence and is not suspended.
 
         None stands for a write without a fence, which always passes.
@@ -131,7 +131,7 @@
         A fenced write resets the claim's count of lost holders: it shows that the holder makes progress, so
         earlier holders were not lost because of the work itself.
         """
-        self.check(write.fence)
+        self.check_fence(write.fence)
         existing = self.find(ObjectKind.RECORD, write.name)
         version = existing.version if existing else 0
         if write.if_version is not None and write.if_version != version:
--- a/orchidhatch/control/registry/batch.py
+++ b/orchidhatch/control/registry/batch.py
@@ -74,7 +74,7 @@
     def _add_to_list(self, write: EndpointWrite) -> Endpoint:
         known = self._find(target_id(write))
         if isinstance(write, ChangeLifecycle | RemoveEndpoint):
-            self._claims.check(write.fence)
+            self._claims.check_fence(write.fence)
         endpoint = next_endpoint(write, known, self._generation + 1, self._count)
         listed = None if endpoint.is_deleted else endpoint
         self._generation += 1
--- a/orchidhatch/control/registry/store.py
+++ b/orchidhatch/control/registry/store.py
@@ -228,7 +228,7 @@
 
 def check_fence(store: Store, fence: Fence | None) -> None:
     """Raise ConflictError unless the fence is current. For operations that are not writes to the store."""
-    ClaimsTransaction(store.claims_table, store.term).check(fence)
+    ClaimsTransaction(store.claims_table, store.term).check_fence(fence)
 
 
 def _oldest_generations(history: dict[int, Endpoint], last: int) -> Iterator[int]:
--- a/orchidhatch/faults/seeded_defects.py
+++ b/orchidhatch/faults/seeded_defects.py
@@ -126,7 +126,7 @@
     from orchidhatch.control.agent.gateway_calls import GatewayCalls
     from orchidhatch.control.ownership.claims import ClaimsTransaction
 
-    ClaimsTransaction.check = lambda self, fence: None
+    ClaimsTransaction.check_fence = lambda self, fence: None
     execute = GatewayCalls.execute
 
     async def execute_unfenced(self: GatewayCalls, fenced_call: Any) -> Any:  # noqa: ANN401
@@ -172,7 +172,7 @@
     from orchidhatch.control.ownership.writes import PutRecord
     from orchidhatch.control.policy.policy_records import DECISION_RECORD
 
-    ClaimsTransaction.check = lambda self, fence: None
+    ClaimsTransaction.check_fence = lambda self, fence: None
     put_record = ClaimsTransaction.put_record
 
     def put_unconditionally(self: ClaimsTransaction, write: PutRecord) -> Any:  # noqa: ANN401
