--- a/orchidhatch/control/registry/store.py
+++ b/orchidhatch/control/registry/store.py
@@ -132,7 +132,7 @@
 
     # --- reads ---
 
-    def changes(self, after: int) -> list[Endpoint] | None:
+    def changes_after(self, after: int) -> list[Endpoint] | None:
         """Return the latest change of each endpoint that changed after a generation.
 
         None if the history does not reach back to that generation.
--- a/orchidhatch/control/watch_broadcaster.py
+++ b/orchidhatch/control/watch_broadcaster.py
@@ -71,7 +71,7 @@
         if self._cached_version != version:
             self._cached_version = version
             self._cached_lines.clear()
-        changes = None if after == WHOLE_LIST else self._store.changes(after)
+        changes = None if after == WHOLE_LIST else self._store.changes_after(after)
         key = LineKey(WHOLE_LIST if changes is None else after, include_leases)
         if key not in self._cached_lines:
             if len(self._cached_lines) >= MAX_CACHED_LINES:
--- a/tests/control/registry/test_replication.py
+++ b/tests/control/registry/test_replication.py
@@ -189,7 +189,7 @@
     store.close()
     again = Store(path)
     assert (again.term, again.generation) == (5, 1001) and again.entries["s-1"] == made
-    assert again.changes(made.version) is None and len(again.changes(1000)) == 1
+    assert again.changes_after(made.version) is None and len(again.changes_after(1000)) == 1
     again.close()
 
 
--- a/tests/control/registry/test_store.py
+++ b/tests/control/registry/test_store.py
@@ -128,14 +128,16 @@
     store = Store(path, create=True, max_history=4)
     for number in (1, 2, 3):
         one(store, RegisterEndpoint(entry(number)))
-    assert [found.id for found in store.changes(0)] == ["s-1", "s-2", "s-3"] and store.changes(3) == []
+    assert [found.id for found in store.changes_after(0)] == ["s-1", "s-2", "s-3"] and store.changes_after(
+        3
+    ) == []
     one(store, ChangeLifecycle("s-1", "DRAINING"))
     one(store, RemoveEndpoint("s-2"))
     for found in (store, None):
         found = found or (store.close() or Store(path, max_history=4))
-        assert len(found.history) == 4 and found.changes(0) is None and found.changes(6) is None
-        assert found.changes(-1) is None
-        assert [(one.id, one.lifecycle) for one in found.changes(2)] == [
+        assert len(found.history) == 4 and found.changes_after(0) is None and found.changes_after(6) is None
+        assert found.changes_after(-1) is None
+        assert [(one.id, one.lifecycle) for one in found.changes_after(2)] == [
             ("s-3", "SERVING"),
             ("s-1", "DRAINING"),
             ("s-2", "DELETED"),
@@ -371,9 +373,9 @@
 
 def test_changes_of_an_earlier_store_are_not_known(path: Path) -> None:
     store = Store(path, create=True, first=1_000)
-    assert store.generation == 1_000 and store.changes(999) is None and store.changes(1_000) == []
+    assert store.generation == 1_000 and store.changes_after(999) is None and store.changes_after(1_000) == []
     assert one(store, RegisterEndpoint(entry(1))).version == 1_001
-    assert store.changes(41) is None
+    assert store.changes_after(41) is None
     store.close()
     again = Store(path, create=True, first=5_000)  # it is there: nothing is begun anew
-    assert again.generation == 1_001 and again.first == 1_000 and len(again.changes(1_000)) == 1
+    assert again.generation == 1_001 and again.first == 1_000 and len(again.changes_after(1_000)) == 1
