--- a/orchidhatch/gateway/handover_codec.py
+++ b/orchidhatch/gateway/handover_codec.py
@@ -26,7 +26,7 @@
 INTEGER_BOUND = 1 << 63
 """Exclusive bound of the absolute value of an integer."""
 
-MESSAGE_KINDS: dict[str, type[HandoverMessage]] = {
+MESSAGE_TYPES: dict[str, type[HandoverMessage]] = {
     "TwinSpend": HandoverSpend,
     "TwinSend": HandoverAttempt,
     "TwinEnd": HandoverAttemptEnd,
@@ -34,7 +34,7 @@
 }
 """The messages between the two processes by wire name; the names are those of an earlier version."""
 
-MESSAGE_NAMES = {record_type: name for name, record_type in MESSAGE_KINDS.items()}
+MESSAGE_NAMES = {record_type: name for name, record_type in MESSAGE_TYPES.items()}
 
 
 def to_plain(value: object) -> object:
--- a/orchidhatch/proxy/handover.py
+++ b/orchidhatch/proxy/handover.py
@@ -20,8 +20,8 @@
 
 from orchidhatch.gateway.events import Event, HandoverPeerGone
 from orchidhatch.gateway.handover_codec import (
-    MESSAGE_KINDS,
     MESSAGE_NAMES,
+    MESSAGE_TYPES,
     from_plain,
     from_plain_with_optional,
     optional_to_plain,
@@ -249,7 +249,7 @@
             self.handlers[control_message](values)
         else:
             optional = values.get(OPTIONAL_FIELDS, {})
-            message = from_plain_with_optional(MESSAGE_KINDS[name], values["record"], optional)
+            message = from_plain_with_optional(MESSAGE_TYPES[name], values["record"], optional)
             self.host.apply_peer_event(message)
 
     def on_take_over(self, connection: HandoverConnection) -> None:
--- a/tests/baseline/test_gateway.py
+++ b/tests/baseline/test_gateway.py
@@ -14,7 +14,7 @@
 from orchidhatch.gateway.events import Event
 from orchidhatch.gateway.gossip import SEQUENCE_NUMBERS, TOTAL_UNITS, GossipMessage, SpentTotal
 from orchidhatch.gateway.gossip_codec import mark_of, pack_message, unpack_message
-from orchidhatch.gateway.handover_codec import MESSAGE_KINDS, from_plain, to_plain
+from orchidhatch.gateway.handover_codec import MESSAGE_TYPES, from_plain, to_plain
 from orchidhatch.gateway.snapshots import GatewaySnapshot
 from tests.baseline.decoding import FOLDER, class_of, decode, read
 
@@ -109,4 +109,4 @@
 
 
 def test_names_that_go_over_the_wire_of_a_hand_over_stay() -> None:
-    assert set(MESSAGE_KINDS) == {"TwinSpend", "TwinSend", "TwinEnd", "TwinMaint"}
+    assert set(MESSAGE_TYPES) == {"TwinSpend", "TwinSend", "TwinEnd", "TwinMaint"}
