--- a/orchidhatch/gateway/decision_context.py
+++ b/orchidhatch/gateway/decision_context.py
@@ -11,8 +11,8 @@
     """The settings, the random source, the event's time in microseconds and the actions decided so far.
 
     `has_handover_peer` says that a second process also serves as this gateway during a handover, and
-    `has_successor` that it takes over from this one. `peer_is_unknown` says that there may be such a process,
-    whose attempts are not known.
+    `has_successor` that it takes over from this one. `has_unknown_peer` says that there may be such a
+    process, whose attempts are not known.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -23,7 +23,7 @@
         self.actions: list[Action] = []
         self.has_handover_peer = False
         self.has_successor = False
-        self.peer_is_unknown = False
+        self.has_unknown_peer = False
 
     def send_to_handover_peer(self, message: HandoverMessage) -> None:
         """Send a message to the handover peer, if there is one."""
--- a/orchidhatch/gateway/handover.py
+++ b/orchidhatch/gateway/handover.py
@@ -143,7 +143,7 @@
 
     def on_peer_unknown(self, _: HandoverPeerUnknown) -> None:
         """Hold back requests under a rate ceiling, as another process may be using it up."""
-        self.context.peer_is_unknown = True
+        self.context.has_unknown_peer = True
 
     def on_peer_gone(self, _: HandoverPeerGone) -> None:
         """Handle the end of the other process, which ends its attempts too.
@@ -154,8 +154,8 @@
         self.context.has_handover_peer = False
         if self.context.has_successor:
             self.resume_reporting()
-        if self.context.peer_is_unknown:
-            self.context.peer_is_unknown = False
+        if self.context.has_unknown_peer:
+            self.context.has_unknown_peer = False
             for customer in self.quotas.customers.values():
                 customer.empty_ceiling(self.context.now_us)
         for request_id, attempt in list(self.in_flight):
--- a/orchidhatch/gateway/quota_leaders.py
+++ b/orchidhatch/gateway/quota_leaders.py
@@ -227,7 +227,7 @@
         """
         if not customer.has_ceiling():
             return False
-        if self.context.peer_is_unknown:
+        if self.context.has_unknown_peer:
             return True
         return customer.refill(self.context.now_us).lacks_ceiling_units(units)
 
--- a/tests/gateway/test_handover.py
+++ b/tests/gateway/test_handover.py
@@ -70,7 +70,7 @@
     world.tell(HandoverPeerUnknown())
     world.tell(HandoverPeerGone())
     assert customer.lacks_ceiling_units(4.0)
-    assert not world.gateway.context.peer_is_unknown
+    assert not world.gateway.context.has_unknown_peer
 
 
 def snapshot_of(world: World) -> GatewaySnapshot:
--- a/tests/proxy/test_handover.py
+++ b/tests/proxy/test_handover.py
@@ -251,9 +251,9 @@
                 door = await start(replace(config, peer_listen=taken.getsockname()), started)
                 client = await Client.open(config.listen)
                 assert await client.ask(query("a1")) == b"ok"  # of a plan without a ceiling
-                assert door.core.context.peer_is_unknown
+                assert door.core.context.has_unknown_peer
                 taken.close()
-                while door.core.context.peer_is_unknown:
+                while door.core.context.has_unknown_peer:
                     await asyncio.sleep(0.01)
 
     run(job())
