--- a/orchidhatch/proxy/client_connection.py
+++ b/orchidhatch/proxy/client_connection.py
@@ -92,7 +92,7 @@
         """When the awaited command must be complete; None if none is awaited."""
         self.read_paused_s = 0.0
         self.write_paused_s = 0.0
-        self.progress_s = 0.0
+        self.last_progress_s = 0.0
         """When the client last read some of the unsent bytes."""
         self.linger_until_s = 0.0
         self.arrived_us = 0
@@ -234,11 +234,11 @@
         if now_s < self.command_deadline_s:
             return False
         # After a stall of the event loop, timers run before bytes that arrived meanwhile are read.
-        return not socket_inspection.unread(self.transport)
+        return not socket_inspection.has_unread_bytes(self.transport)
 
     def has_unfinished_command(self) -> bool:
         """Return whether a command was read in part, or bytes are unread at the socket."""
-        return bool(self.reader.buffer) or socket_inspection.unread(self.transport)
+        return bool(self.reader.buffer) or socket_inspection.has_unread_bytes(self.transport)
 
     # --- answers ---
 
@@ -318,7 +318,7 @@
         """Pause reading commands, as the client reads too slowly and the write buffer is full."""
         self.is_write_paused = True
         self.write_paused_s = self.now_s()
-        self.progress_s = self.write_paused_s
+        self.last_progress_s = self.write_paused_s
         self.update_unsent_bytes()
         self.update_reading()
 
@@ -342,7 +342,7 @@
             blocked_bytes = sum(len(reply.data) for reply in self.replies if reply.data)
             unsent_bytes = self.transport.get_write_buffer_size() + blocked_bytes
         if unsent_bytes < self.unsent_bytes or not self.unsent_bytes:
-            self.progress_s = self.now_s()
+            self.last_progress_s = self.now_s()
         self.clients.backlog.unsent_bytes += unsent_bytes - self.unsent_bytes
         self.unsent_bytes = unsent_bytes
         if unsent_bytes:
@@ -381,7 +381,9 @@
         if self._refuse_if_unanswered(CloseReason.BETWEEN_REQUESTS):
             return
         self.clients.metrics.closes[CloseReason.BETWEEN_REQUESTS] += 1
-        if not self.transport.get_write_buffer_size() and not socket_inspection.unread(self.transport):
+        if not self.transport.get_write_buffer_size() and not socket_inspection.has_unread_bytes(
+            self.transport
+        ):
             self._enter(ConnectionState.CLOSING)
             self.transport.close()
         else:
@@ -436,7 +438,7 @@
         """Close if the client has disconnected, even if that is still unread; return whether it has."""
         if self.transport is None:
             return False
-        if not self.transport.is_closing() and not socket_inspection.left(self.transport):
+        if not self.transport.is_closing() and not socket_inspection.has_peer_closed(self.transport):
             return False
         self.clients.metrics.closes[CloseReason.CLIENT_LEFT] += 1
         self.abandon_replies()
--- a/orchidhatch/proxy/operator_drain.py
+++ b/orchidhatch/proxy/operator_drain.py
@@ -32,7 +32,7 @@
         self.task: asyncio.Task[None] | None = None
         """The drain in progress or finished, until it is undone."""
 
-    def connect(self, policy_guard: PolicyGuard) -> None:
+    def set_policy_guard(self, policy_guard: PolicyGuard) -> None:
         """Set the policy guard, which is itself created with `suspend_admission`."""
         self.policy_guard = policy_guard
 
@@ -63,7 +63,7 @@
         await asyncio.sleep(LATE_CONNECTION_GRACE_S)
         self.clients.drain()
         await asyncio.sleep(called_s + READ_PERIOD_S - loop.time())
-        self.clients.read_no_more()
+        self.clients.stop_reading()
         if (
             self.policy_guard.policy
         ):  # a late client must not be admitted under a policy that may have expired
--- a/tests/proxy/test_graceful_drain.py
+++ b/tests/proxy/test_graceful_drain.py
@@ -47,7 +47,7 @@
         slow.send(b"".join(query(f"b{n}") for n in range(16)))
         while (
             not any(one.reader.buffer for one in gateway.clients.connections)
-            or sum(sum(ended.values()) for ended in gateway.figures.ended.values()) < 16
+            or sum(sum(ended.values()) for ended in gateway.request_metrics.ended.values()) < 16
         ):
             await asyncio.sleep(0)
         draining = await start_drain(gateway)
@@ -144,14 +144,14 @@
     """Only the kernel has accepted it by then, and its request lies there."""
 
     async with front_door(Backend()) as (gateway, address):
-        late, read_no_more = socket.socket(), gateway.clients.read_no_more
+        late, stop_reading = socket.socket(), gateway.clients.stop_reading
 
         def meanwhile() -> None:
-            read_no_more()
+            stop_reading()
             late.connect(address)
             late.sendall(query("a1"))
 
-        monkeypatch.setattr(gateway.clients, "read_no_more", meanwhile)
+        monkeypatch.setattr(gateway.clients, "stop_reading", meanwhile)
         await gateway.drain()
         late.settimeout(5)
         assert late.recv(100) == b"$2\r\nok\r\n" and late.recv(100) == b""
@@ -201,7 +201,7 @@
     for _ in range(2 * TURNS_AFTER_GAP):
         watch.touch()
         await asyncio.sleep(0)
-    assert not watch.is_suspicious
+    assert not watch.is_after_gap
     process = ProcessLifecycle(Mock(), Mock(), Mock(loop_watch=watch))
     is_noting[0] = True
     process.note_termination()
--- a/tests/proxy/test_handover.py
+++ b/tests/proxy/test_handover.py
@@ -191,7 +191,7 @@
             assert await busy.answer() == b"late" and await busy.ended()
             while new.core.handover_peer.in_flight:
                 await asyncio.sleep(0.01)
-            assert len(old.clients.connections) == 0 and new.figures.ended["read"]["answered"] == 1
+            assert len(old.clients.connections) == 0 and new.request_metrics.ended["read"]["answered"] == 1
 
     run(job())
 
@@ -251,9 +251,9 @@
                 door = await start(replace(config, peer_listen=taken.getsockname()), started)
                 client = await Client.open(config.listen)
                 assert await client.ask(query("a1")) == b"ok"  # of a plan without a ceiling
-                assert door.core.context.peer_is_unknown
+                assert door.core.context.has_unknown_peer
                 taken.close()
-                while door.core.context.peer_is_unknown:
+                while door.core.context.has_unknown_peer:
                     await asyncio.sleep(0.01)
 
     run(job())
