--- a/tests/gateway/held_pair.py
+++ b/tests/gateway/held_pair.py
@@ -1,6 +1,6 @@
-"""What a quota leader has counted as spent, and what was admitted, under every order of their messages.
+"""A quota leader and a member whose messages tests deliver, reorder or lose one by one.
 
-A pair holds each message between a member and the leader; tests deliver, reorder or lose it by hand.
+Tests compare the units that the leader has counted as spent with those that were admitted.
 """
 
 import zlib
@@ -40,23 +40,23 @@
 BURST = 20.0
 PLAN = Plan(rate=1e-6, burst=BURST)  # The rate is too low to refill anything during a test.
 SLOTS_PLAN = replace(PLAN, max_in_flight=2)
-SEND_SPACING = 1 * MS
-"""After so long the outbox sends what it has, whatever went before."""
+SEND_SPACING_US = 1 * MS
+"""After this time the outbox sends what is queued, however recently it last sent."""
 
-PAST_ONE_WAIT = LEADER_REPLY_TIMEOUT_US + 10 * MS
-PAST_ALL_WAITS = MAX_GRANT_REQUESTS * PAST_ONE_WAIT
-"""After so long a request is decided without an answer, its grant requested as often as permitted."""
+PAST_ONE_WAIT_US = LEADER_REPLY_TIMEOUT_US + 10 * MS
+PAST_ALL_WAITS_US = MAX_GRANT_REQUESTS * PAST_ONE_WAIT_US
+"""After this time a request without an answer has used all its grant requests and is decided locally."""
 
-PAST_EXPIRY = GRANT_REQUEST_TTL_US + 10 * MS
-"""After so long without an answer the leader is taken to have counted nothing."""
+PAST_EXPIRY_US = GRANT_REQUEST_TTL_US + 10 * MS
+"""After this time without an answer the member assumes that the leader has counted nothing."""
 
-PAST_BACKOFF = 3 * MIN_BACKOFF_US // 2 + 50 * MS
+PAST_BACKOFF_US = 3 * MIN_BACKOFF_US // 2 + 50 * MS
 ANSWERED = QuotaDecisionSource.GRANT_ANSWER
 TIMED_OUT = QuotaDecisionSource.ANSWER_TIMEOUT
 
 
 def customer_name(remainder: int, skipped: int = 0) -> str:
-    """A customer whose leader is that many places after the first gateway of its set."""
+    """Return a customer whose leader is the gateway with the index `remainder`."""
     names = [str(number) for number in range(100) if zlib.crc32(str(number).encode()) % GATEWAYS == remainder]
     return names[skipped]
 
@@ -66,7 +66,7 @@
 
 
 def record_decisions(world: World) -> list[QuotaDecisionSource]:
-    """The sources of the gateway's quota decisions from now on, in order."""
+    """Return a list to which the source of each later quota decision of the gateway is appended."""
     sources: list[QuotaDecisionSource] = []
     count_decision = world.gateway.counters.count_decision
 
@@ -79,7 +79,7 @@
 
 
 def record_spending(world: World) -> list[float]:
-    """The units that the gateway's requests spend from now on, in order."""
+    """Return a list to which the units of each later spend at the gateway are appended."""
     spent: list[float] = []
     spend = world.gateway.quotas.spend
 
@@ -121,13 +121,13 @@
         assert self.counted(name) == pytest.approx(0.0, abs=0.01)
 
     def new_customer(self, name: str) -> Customer:
-        """The customer at the member, which need not know it yet."""
+        """Return the member's state of the customer, created if it is new."""
         return self.member.gateway.quotas.customer(CustomerKey(zlib.crc32(name.encode()), 0, 0, GATEWAYS))
 
     # --- messages ---
 
     def collect(self) -> None:
-        """Hold what the gateways have sent each other since the last call."""
+        """Move the messages sent since the last call into the held messages."""
         for sender, world, held in (
             (MEMBER, self.member, self.to_leader),
             (LEADER, self.leader, self.to_member),
@@ -139,7 +139,7 @@
                 held += [PeerMessage(sender, (message,), policy_mark=mark) for message in gossip.messages]
 
     def tell(self, world: World, event: Event) -> list[Action]:
-        """Give one gateway an event, and hold what it sends; what its core then asks for is returned."""
+        """Pass an event to one gateway, hold the messages that it sends, and return its actions."""
         actions = world.tell(event)
         self.collect()
         return actions
@@ -147,15 +147,15 @@
     def deliver_to_leader(self, index: int = 0) -> None:
         """Deliver one of the held messages to the leader."""
         self.tell(self.leader, self.on_arrival(self.to_leader.pop(index)))
-        self.run(SEND_SPACING)
+        self.run(SEND_SPACING_US)
 
     def deliver_to_member(self, index: int = 0) -> list[str]:
-        """Deliver one of the held messages to the member, and return the requests that it decided."""
+        """Deliver one of the held messages to the member, and return the ids of the requests it decided."""
         actions = self.tell(self.member, self.on_arrival(self.to_member.pop(index)))
         return [action.id for action in of(SendAttempt, actions) + of(Reject, actions)]
 
     def on_arrival(self, event: PeerMessage) -> PeerMessage:
-        """The message as it arrives, with its amounts rounded where it goes through the codec."""
+        """Return the message as received: its amounts are rounded if it goes through the codec."""
         if not self.through_codec:
             return event
         [datagram] = pack_message(event.messages)
@@ -163,7 +163,7 @@
         return replace(event, messages=messages)
 
     def deliver_all(self) -> None:
-        """Deliver every held message, and those that are sent in return."""
+        """Deliver held messages until none is left, including those sent in response."""
         while self.to_leader or self.to_member:
             while self.to_leader:
                 self.deliver_to_leader()
@@ -171,51 +171,51 @@
                 self.deliver_to_member()
 
     def lose_all(self) -> None:
-        """Lose every held message."""
+        """Drop every held message."""
         self.to_leader.clear()
         self.to_member.clear()
 
     # --- requests and time ---
 
     def ask(self, name: str, units: float, customer: str = CUSTOMER, at_leader: bool = False) -> None:
-        """A request comes to the member, or to the leader."""
+        """Send a client request to the member, or to the leader if `at_leader`."""
         world = self.leader if at_leader else self.member
         self.units[name] = units
         world.ask(name, customer=customer, units=units, set_size=GATEWAYS)
-        self.run(SEND_SPACING)
+        self.run(SEND_SPACING_US)
 
     def run(self, time_us: int) -> None:
-        """Let time pass at both while all messages stay held."""
+        """Advance both clocks, and hold the messages that are sent meanwhile."""
         self.member.run(time_us)
         self.leader.run(time_us)
         self.collect()
 
     def serve(self) -> None:
-        """Let backends answer what the member sends them, until nothing is queued at it."""
+        """Answer the member's attempts until none is left."""
         while self.member.out:
             for name, attempt in list(self.member.out):
                 self.member.answer(name, attempt=attempt)
             self.run(50 * MS)
 
     def report(self, customer: Customer) -> None:
-        """Let the member send its leader a report."""
+        """Make the member send its leader a report."""
         self.member.gateway.quotas.report_demand(customer)
         self.tell(self.member, TimerExpired(0))
-        self.run(SEND_SPACING)
+        self.run(SEND_SPACING_US)
 
     def use_up_allowance(self) -> None:
-        """Spend of the allowance, so that a request of more than the local share is rejected by it."""
+        """Spend part of the allowance, so that a request above the local share is rejected locally."""
         self.ask("small", units=1.0)
         self.deliver_all()
 
     def set_leader_level(self, level: float) -> None:
-        """Leave so many units to the set, by a request at the leader."""
+        """Lower the set's level to `level` by a request at the leader."""
         customer = self.customer_at(self.leader)
         self.ask("own", units=customer.quota.set_level - level, at_leader=True)
         assert customer.quota.set_level == pytest.approx(level, abs=0.01)
 
     def restart_leader(self, **changes: object) -> None:
-        """Replace the leader by a new process that knows nothing."""
+        """Replace the leader by a new process without any state."""
         settings: Settings = replace(self.leader.gateway.settings, **changes)
         self.leader.timers.clear()
         self.leader.gateway = GatewayCore(settings)
@@ -224,7 +224,7 @@
     # --- what was counted and what was admitted ---
 
     def customer_at(self, world: World, name: str = CUSTOMER) -> Customer:
-        """The customer as a gateway knows it."""
+        """Return a gateway's state of the customer."""
         checksum = zlib.crc32(name.encode())
         [customer] = [
             customer for key, customer in world.gateway.quotas.customers.items() if key.customer == checksum
@@ -232,87 +232,89 @@
         return customer
 
     def counted(self, name: str = CUSTOMER) -> float:
-        """The units that the leader has counted as spent."""
+        """Return the units that the leader has counted as spent."""
         return self.burst - self.customer_at(self.leader, name).quota.set_level
 
     def sent(self) -> set[str]:
-        """The requests that were sent to a backend."""
-        return {action.id for world in (self.member, self.leader) for action in of_log(SendAttempt, world)}
+        """Return the ids of the requests that were sent to a backend."""
+        return {
+            action.id for world in (self.member, self.leader) for action in actions_in_log(SendAttempt, world)
+        }
 
     def admitted(self, name: str) -> bool:
-        """Whether a request was sent to a backend."""
+        """Return whether a request was sent to a backend."""
         return name in self.sent()
 
     def admitted_units(self) -> float:
-        """The units of all requests that were sent to a backend."""
+        """Return the units of all requests that were sent to a backend."""
         return sum(self.units[name] for name in self.sent())
 
     def spent_units(self) -> float:
-        """The units of all requests that were admitted by the quota, sent to a backend yet or not."""
+        """Return the units of all requests that the quota admitted, including those not yet sent."""
         return sum(units for spent in self.spent for units in spent)
 
     def settle(self) -> None:
-        """Let what remains arrive, the last waits end, presumed grants expire, and report each customer."""
+        """Deliver all messages, let all waits and presumed grants expire, and report each customer."""
         self.deliver_all()
-        self.run(PAST_ALL_WAITS)
+        self.run(PAST_ALL_WAITS_US)
         self.deliver_all()
-        self.run(PAST_EXPIRY)
+        self.run(PAST_EXPIRY_US)
         self.deliver_all()
         for customer in list(self.member.gateway.quotas.customers.values()):
             self.report(customer)
         self.deliver_all()
 
-    def check(self, answered: int, granted_unheard: float = 0.0) -> None:
-        """The leader has counted what was admitted, and only requests with an answer were decided by one.
+    def check(self, answered: int, granted_unanswered: float = 0.0) -> None:
+        """Check that answers decided `answered` requests, and that the leader counted the units sent.
 
-        In addition it has counted `granted_unheard`: the grants whose answers never reached the member.
+        `granted_unanswered` is the units of grants that the leader counted and whose answers were lost.
         """
         self.settle()
         assert not self.member.gateway.admission.awaiting_grant
         assert not self.member.gateway.quotas.member.presumed
         assert self.sources.count(ANSWERED) == answered
-        assert self.counted() == pytest.approx(self.admitted_units() + granted_unheard, abs=0.03)
+        assert self.counted() == pytest.approx(self.admitted_units() + granted_unanswered, abs=0.03)
 
-    def asks(self) -> list[GossipMessage]:
-        """The messages that are held on their way to the leader."""
+    def messages_to_leader(self) -> list[GossipMessage]:
+        """Return the gossip messages held for the leader."""
         return [message for event in self.to_leader for message in event.messages]
 
-    def answers(self) -> list[GossipMessage]:
-        """The messages that are held on their way to the member."""
+    def messages_to_member(self) -> list[GossipMessage]:
+        """Return the gossip messages held for the member."""
         return [message for event in self.to_member for message in event.messages]
 
 
-def of_log(kind: type, world: World) -> list[Action]:
-    """The actions of a kind in a world's log."""
+def actions_in_log(kind: type, world: World) -> list[Action]:
+    """Return the actions of one type in a world's log."""
     return of(kind, [action for _, action in world.log])
 
 
-def wait_past_all(pair: HeldPair) -> None:
-    """Let a request, asked for as often as permitted, be decided by time-out, its messages held."""
-    pair.run(PAST_ALL_WAITS)
+def wait_until_timed_out(pair: HeldPair) -> None:
+    """Wait until the request is decided by timeout, with all its grant requests held."""
+    pair.run(PAST_ALL_WAITS_US)
     assert pair.sources[-1] is TIMED_OUT
     assert len(pair.to_leader) == MAX_GRANT_REQUESTS
 
 
 def unnumbered(event: PeerMessage) -> PeerMessage:
-    """The messages as a gateway of the version before sends them, without numbers."""
+    """Return the messages as a gateway of the previous version sends them, without grant numbers."""
     return replace(
         event, messages=tuple(replace(message, grant_number=NO_GRANT_NUMBER) for message in event.messages)
     )
 
 
 class HeldPairOfLargePlan(HeldPair):
-    """A pair with more units than a message can name; its messages go through the codec."""
+    """A pair whose plan has more units than a message can carry; messages go through the codec."""
 
     def __init__(self, plan: Plan) -> None:
         super().__init__(plan, through_codec=True)
 
     def introduce(self, name: str) -> None:
-        """Leave the leader without word of the customer: a message would cut the level."""
+        """Send the leader no first report: the message's limited range would cut the level."""
 
 
 class Successor:
-    """A process that takes over from the pair's member; from then on the predecessor sends no gossip."""
+    """A process that takes over from the pair's member, which sends no gossip from then on."""
 
     def __init__(self, pair: HeldPair) -> None:
         self.pair = pair
@@ -324,8 +326,8 @@
         self.read_count = len(pair.member.log)
         self.sent_count = len(self.world.log)
 
-    def tell_spending(self) -> None:
-        """Take over what the predecessor has told of its spending and attempts since the last call."""
+    def relay_spending(self) -> None:
+        """Pass on the predecessor's handover messages on spending and attempts since the last call."""
         actions = [action for _, action in self.pair.member.log[self.read_count :]]
         self.read_count = len(self.pair.member.log)
         for action in actions:
@@ -333,7 +335,7 @@
                 self.world.tell(action)
 
     def report(self) -> None:
-        """Send the leader all that the successor has sent, and a report; the predecessor's go nowhere."""
+        """Deliver the successor's messages and a report to the leader; drop the predecessor's."""
         self.pair.to_leader.clear()
         customer = self.pair.customer_at(self.world)
         self.world.gateway.quotas.report_demand(customer)
--- a/tests/gateway/quota_rig.py
+++ b/tests/gateway/quota_rig.py
@@ -1,10 +1,9 @@
-"""A rig that measures the quota rule of several decision cores whose messages are late and lost.
+"""A rig that measures how gateways keep a shared quota while their messages are delayed and lost.
 
 Gateways, clients, servers and the links between the gateways share one simulated clock and one queue of
-events. Each message has a delay of its own, so that messages overtake each other. What the gateways send to
-the servers is compared with what one token bucket a customer admits of the same arrivals, and a ledger for
-each customer says where its units went. The product's code stays as it is: the rig observes it through
-wrapped methods.
+events. Each message has a random delay, so that messages are reordered. What the gateways send to the
+servers is compared with what one token bucket per customer admits of the same arrivals, and a ledger for
+each customer accounts for its units. The rig observes the decision cores through wrapped methods.
 
 The long form, which prints a table, is started by hand: `python -m tests.gateway.quota_rig --seeds 1:10`.
 """
@@ -40,10 +39,10 @@
 
 MIN_SERVICE_US = 5 * MS
 MAX_SERVICE_US = 20 * MS
-"""How long servers take for an attempt: so little that overload control stays out of the measurement."""
+"""The service time of an attempt: short enough that overload control stays inactive."""
 
 SERVER_COUNT = 40
-"""Enough servers for the limit on attempts in flight not to be reached."""
+"""Enough servers that the limit on attempts in flight is not reached."""
 
 DRAIN_US = 2 * S
 """How long the rig runs on after the last arrival: longer than any wait for a grant."""
@@ -55,7 +54,7 @@
 """The hexadecimal digits of a customer's name in production."""
 
 PEER_MESSAGES_PER_S = 200.0
-"""What a gateway may receive: so much that no request to a leader is left out for that."""
+"""The messages that a gateway may receive: enough that no grant request is omitted for this limit."""
 
 MAX_PROCESSES = 3
 """How many measurements the long form runs at once."""
@@ -70,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RigSettings:
-    """What one measurement is made with.
+    """The settings of one measurement.
 
     `load` is the units offered as a fraction of the quota. Messages take MIN_DELAY_US to `max_delay_us`, and
     are lost with the probability `loss`. A request has one of `unit_choices` at random. All requests of the
@@ -98,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A client's request: when it comes to which gateway."""
+    """A client's request, with its time of arrival and its gateway."""
 
     id: str
     at_us: int
@@ -116,12 +115,12 @@
 
 @dataclass(slots=True)
 class CustomerLedger:
-    """Where one customer's units went.
+    """The accounting of one customer's units.
 
     `offered` is what its clients requested, `bucket_admitted` what one token bucket admits of that, `sent`
     what went to the servers. `leader_counted` is what its quota leader has taken from the bucket of the set,
     less what was given back; `leader_forgiven` is the part of it that the bound of the set's debt has left
-    out. `unreported` is what members have spent since their last messages, `on_the_way` what is reported as
+    out. `unreported` is what members have spent since their last messages, `in_transit` what is reported as
     spent in messages that are still under way. `lost_reports` are, by member, the lost messages since the
     newest one that has arrived, which says their units too. `peak_excess` is the most by which what was sent
     has been above the burst and the refill since the start, at any time.
@@ -134,7 +133,7 @@
     leader_counted: float = 0.0
     leader_forgiven: float = 0.0
     unreported: float = 0.0
-    on_the_way: float = 0.0
+    in_transit: float = 0.0
     peak_excess: float = 0.0
     lost_reports: dict[int, list[LostReport]] = field(default_factory=dict)
 
@@ -144,19 +143,19 @@
         return sum(report.units for reports in self.lost_reports.values() for report in reports)
 
     def drop_lost_reports(self, member: int, number: int) -> None:
-        """The member's message of that number has arrived."""
+        """Drop the lost reports that the arrived message `number` of the member makes up for."""
         reports = self.lost_reports.get(member, [])
         self.lost_reports[member] = [report for report in reports if report.number > number]
 
     @property
     def overcounted(self) -> float:
-        """The units that the gateways' books have beyond those sent; below zero, those they lack."""
-        return self.leader_counted + self.unreported + self.on_the_way + self.lost - self.sent
+        """The units that the gateways have counted beyond those sent; negative if they counted too few."""
+        return self.leader_counted + self.unreported + self.in_transit + self.lost - self.sent
 
 
 @dataclass(frozen=True, slots=True)
 class RigResult:
-    """What one measurement has shown.
+    """The result of one measurement.
 
     `decisions` counts quota decisions by their source, `overload_engaged` says whether overload control has
     limited admission at any time, which it must not in a measurement of quotas.
@@ -190,14 +189,14 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """The quota as one process would keep it."""
+    """The quota as a single process would enforce it."""
 
     plan: Plan
     level: float
     refilled_us: int = START_US
 
     def admits(self, now_us: int, units: float) -> bool:
-        """Whether a request is admitted; its units are taken then."""
+        """Return whether a request is admitted, and if so take its units."""
         self.level = min(self.plan.burst, self.level + self.plan.rate * (now_us - self.refilled_us) / S)
         self.refilled_us = now_us
         if self.level < units:
@@ -210,13 +209,13 @@
 
 
 def customer_names(settings: RigSettings) -> list[str]:
-    """The customers' names, which decide what gateway leads each."""
+    """Return the customers' names, which determine the quota leader of each."""
     source = random.Random(f"names {settings.seed}")
     return [f"{source.getrandbits(4 * NAME_DIGITS):0{NAME_DIGITS}x}" for _ in range(settings.customer_count)]
 
 
 def arrival_times_us(settings: RigSettings, source: random.Random) -> Iterator[int]:
-    """When one customer's requests arrive."""
+    """Yield the arrival times of one customer's requests."""
     mean_units = sum(settings.unit_choices) / len(settings.unit_choices)
     per_second = settings.load * settings.plan.rate / mean_units
     if settings.arrival_pattern is ArrivalPattern.EVEN:
@@ -278,7 +277,7 @@
             self.schedule(arrival.at_us, lambda arrival=arrival: self.on_arrival(arrival))
 
     def new_world(self, index: int) -> World:
-        """A gateway with its observed parts."""
+        """Return a new gateway, with its decisions and leader counts observed."""
         settings = self.settings
         gateway_settings = replace(
             SETTINGS,
@@ -308,7 +307,7 @@
         counters.count_decision = count
 
     def observe_leader_counts(self, quotas: QuotaLeaders) -> None:
-        """Book what the gateway takes from the bucket of the set for the customers that it leads."""
+        """Record the units that the gateway counts for the customers that it leads."""
         new_customer = quotas.create_customer
 
         def new_observed_customer(key: CustomerKey) -> Customer:
@@ -320,7 +319,7 @@
         quotas.create_customer = new_observed_customer
 
     def observe_set_bucket(self, customer: Customer) -> None:
-        """Book what is taken from the customer's bucket of the set."""
+        """Record the units taken from the customer's bucket for the gateway set."""
         buckets = customer.quota
         spend_from_set = buckets.spend_from_set
         checksum = customer.key.customer
@@ -343,7 +342,7 @@
     # --- the clock ---
 
     def schedule(self, at_us: int, run: Callable[[], None]) -> None:
-        """Do something at a time."""
+        """Schedule a call at a time."""
         heapq.heappush(self.events, ScheduledEvent(at_us, next(self.numbers), run))
 
     def run(self) -> RigResult:
@@ -361,7 +360,7 @@
     # --- events ---
 
     def on_arrival(self, arrival: Arrival) -> None:
-        """A client's request arrives at its gateway; the token bucket decides on it too."""
+        """Handle a client's request at its gateway, and in the token bucket for comparison."""
         request = Request(
             arrival.id,
             0,
@@ -380,13 +379,13 @@
         self.carry_out(arrival.gateway, world.tell(request))
 
     def at_gateway(self, gateway: int) -> World:
-        """The gateway, its clock set to now."""
+        """Return the gateway, with its clock set to the current time."""
         world = self.worlds[gateway]
         world.now = self.now_us
         return world
 
     def carry_out(self, gateway: int, actions: Iterable[Action]) -> None:
-        """Do what a gateway has decided."""
+        """Carry out a gateway's actions."""
         world = self.worlds[gateway]
         self.take_timers(world, gateway)
         world.log.clear()
@@ -407,11 +406,11 @@
         world.timers.clear()
 
     def on_timer(self, gateway: int, token: int) -> None:
-        """A timer of a gateway has expired."""
+        """Handle an expired timer of a gateway."""
         self.carry_out(gateway, self.at_gateway(gateway).tell(TimerExpired(token)))
 
     def on_attempt_sent(self, gateway: int, action: SendAttempt) -> None:
-        """A server has been sent an attempt; a request's first one counts."""
+        """Handle an attempt sent to a server; only the first attempt of a request is counted."""
         if action.id not in self.sent:
             self.sent.add(action.id)
             arrival = self.arrivals[action.id]
@@ -425,13 +424,13 @@
         self.schedule(ends_us, lambda: self.on_attempt_ended(gateway, action.id, attempt))
 
     def on_attempt_ended(self, gateway: int, request_id: str, attempt: int) -> None:
-        """A server has answered an attempt."""
+        """Handle a server's response to an attempt."""
         self.carry_out(gateway, self.at_gateway(gateway).answer(request_id, attempt=attempt))
 
     # --- links ---
 
     def send_gossip(self, sender: int, gossip: SendGossip) -> None:
-        """Put a gateway's messages on their way, or lose them."""
+        """Schedule the delivery of a gateway's messages, or lose them."""
         for messages in self.datagrams(gossip):
             is_lost = self.random.random() < self.settings.loss
             delay_us = self.random.randint(MIN_DELAY_US, self.settings.max_delay_us)
@@ -446,35 +445,35 @@
                 )
 
     def datagrams(self, gossip: SendGossip) -> list[tuple[GossipMessage, ...]]:
-        """What goes over the link together."""
+        """Return the messages grouped by datagram."""
         if not self.settings.uses_wire_format:
             return [gossip.messages]
         return [unpack_message(datagram)[0] for datagram in pack_message(gossip.messages)]
 
     def book_report(self, sender: int, message: GossipMessage, lost_number: int | None) -> None:
-        """Book the units that a member's message reports as spent, when it is sent.
+        """Record the units that a member's message reports as spent, when it is sent.
 
-        `lost_number` is the number of one that is lost.
+        `lost_number` is the number of a lost message, None if the message is not lost.
         """
         if message.is_answer:
             return
         ledger = self.ledger_by_checksum[message.customer]
         if lost_number is None:
-            ledger.on_the_way += message.spent
+            ledger.in_transit += message.spent
         else:
             ledger.lost_reports.setdefault(sender, []).append(LostReport(lost_number, message.spent))
 
     def on_delivery(self, gateway: int, event: PeerMessage, number: int) -> None:
-        """Messages of that number arrive at a gateway."""
+        """Deliver the messages with the sequence number `number` to a gateway."""
         for message in event.messages:
             if not message.is_answer:
                 ledger = self.ledger_by_checksum[message.customer]
-                ledger.on_the_way -= message.spent
+                ledger.in_transit -= message.spent
                 ledger.drop_lost_reports(event.sender, number)
         self.carry_out(gateway, self.at_gateway(gateway).tell(event))
 
     def book_unreported(self) -> None:
-        """Book what members have spent since their last messages, and what waits in their outboxes."""
+        """Record what members have spent since their last messages, and what their outboxes hold."""
         for member, world in enumerate(self.worlds):
             for key, customer in world.gateway.quotas.customers.items():
                 if not customer.is_leader:
@@ -485,7 +484,7 @@
 
 
 def checksum_of(name: str) -> int:
-    """What a customer goes by in messages, from the product's own rule."""
+    """Return the checksum that identifies a customer in messages."""
     return customer_key(Request("", 0, 0, name, 0)).customer
 
 
@@ -499,7 +498,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cell:
-    """One column of the table: the links, and a name for it."""
+    """A named setting of the links, measured at each load."""
 
     name: str
     max_delay_us: int
@@ -521,7 +520,7 @@
 
 
 def table_settings(seed: int) -> Iterator[tuple[str, RigSettings]]:
-    """The measurements of the table with one seed, each with the name of its cell."""
+    """Yield the table's measurements for one seed, each with the name of its cell."""
     for load, cell in itertools.product(LOADS, CELLS):
         yield f"{load}, {cell.name}", RigSettings(seed, load, cell.max_delay_us, cell.loss)
     for load in LOADS:
@@ -540,7 +539,7 @@
 
 
 def format_cell(name: str, results: list[RigResult]) -> str:
-    """A line of the table: mean, worst seed and what is beyond the quota."""
+    """Return a row of the table: mean share, worst and best seed, excess over the quota, and counts."""
     mean_share = sum(result.share_served for result in results) / len(results)
     worst = min(results, key=lambda result: result.share_served)
     best = max(results, key=lambda result: result.share_served)
@@ -569,7 +568,7 @@
 
 
 def seed_range(text: str) -> range:
-    """The seeds from the first to the last of `FIRST:LAST`."""
+    """Return the seeds from FIRST to LAST, given as `FIRST:LAST`."""
     first, _, last = text.partition(":")
     return range(int(first), int(last or first) + 1)
 
--- a/tests/gateway/quota_scenarios.py
+++ b/tests/gateway/quota_scenarios.py
@@ -15,7 +15,7 @@
 
 
 def drive_capped(gateways: Set, fault: Callable[[int], None] = no_fault) -> None:
-    """Three times the rate for 40 s, nearly all through one gateway, which changes every 5 s."""
+    """Offer three times the rate for 40 s, mostly through one gateway, which changes every 5 s."""
     gateways.lasts_us = 150 * MS
     for step in range(1000):
         fault(step)
@@ -28,12 +28,12 @@
 
 
 def attempt_times(gateways: Set) -> list[int]:
-    """When the gateways sent attempts, in order."""
+    """Return the times at which the gateways sent attempts, sorted."""
     return sorted(
         at_us for world in gateways.worlds for at_us, action in world.log if isinstance(action, SendAttempt)
     )
 
 
 def all_customers(gateways: Set) -> list[Customer]:
-    """The customers as each gateway knows them."""
+    """Return every gateway's state of every customer."""
     return [customer for world in gateways.worlds for customer in world.gateway.quotas.customers.values()]
--- a/tests/gateway/test_grant_accounting.py
+++ b/tests/gateway/test_grant_accounting.py
@@ -14,8 +14,8 @@
     GATEWAYS,
     MEMBER,
     OTHER_CUSTOMER,
-    PAST_ALL_WAITS,
-    PAST_ONE_WAIT,
+    PAST_ALL_WAITS_US,
+    PAST_ONE_WAIT_US,
     PLAN,
     SLOTS_PLAN,
     HeldPair,
@@ -93,10 +93,10 @@
 def answer_after_another_is_overdue(pair: HeldPair) -> None:
     """Answer one more request when the wait of the first is over, and before its timer."""
     pair.lose_all()
-    pair.run(PAST_ONE_WAIT // 2)
+    pair.run(PAST_ONE_WAIT_US // 2)
     pair.ask("answered", units=8.0)
     pair.deliver_to_leader()
-    pair.member.now += PAST_ONE_WAIT // 2
+    pair.member.now += PAST_ONE_WAIT_US // 2
     pair.deliver_to_member()
 
 
@@ -142,7 +142,7 @@
     pair.check(answered=1)
 
 
-@pytest.mark.parametrize("wait_us", [0, PAST_ONE_WAIT, PAST_ALL_WAITS], ids=["soon", "overdue", "late"])
+@pytest.mark.parametrize("wait_us", [0, PAST_ONE_WAIT_US, PAST_ALL_WAITS_US], ids=["soon", "overdue", "late"])
 def test_request_whose_client_left_is_not_counted(wait_us: int) -> None:
     """Guards against units that stay counted where the client left before the answer came."""
     pair = HeldPair()
@@ -158,7 +158,7 @@
     """Guards against the units of a second ask that stay counted where the client left after it."""
     pair = HeldPair()
     pair.ask("a", units=6.0)
-    pair.run(PAST_ONE_WAIT)
+    pair.run(PAST_ONE_WAIT_US)
     pair.tell(pair.member, ClientGone("a"))
     pair.check(answered=0)
 
@@ -172,7 +172,7 @@
     pair.ask("waits", units=8.0)
     pair.deliver_to_leader()
     assert pair.deliver_to_member() == ["waits"]
-    pair.run(PAST_ALL_WAITS)
+    pair.run(PAST_ALL_WAITS_US)
     pair.check(answered=1)
 
 
@@ -183,7 +183,7 @@
     sources = record_decisions(world)
     actions = world.ask("a", customer=CUSTOMER, units=6.0, set_size=GATEWAYS)
     actions += world.ask("b", customer=CUSTOMER, units=6.0, set_size=GATEWAYS)
-    actions += world.run(PAST_ALL_WAITS)
+    actions += world.run(PAST_ALL_WAITS_US)
     assert of(SendGossip, actions) == []
     assert sources == [QuotaDecisionSource.LEADER] * 2
     assert not world.gateway.admission.awaiting_grant
@@ -213,8 +213,8 @@
     pair = HeldPair(SLOTS_PLAN)
     pair.ask("a", units=6.0)
     if late:
-        pair.run(PAST_ALL_WAITS)
+        pair.run(PAST_ALL_WAITS_US)
     pair.deliver_all()
-    pair.run(PAST_ONE_WAIT)
+    pair.run(PAST_ONE_WAIT_US)
     assert pair.admitted("a")
     pair.check(answered=0 if late else 1)
--- a/tests/gateway/test_grant_accounting_open.py
+++ b/tests/gateway/test_grant_accounting_open.py
@@ -19,9 +19,9 @@
     LEADER,
     MEMBER,
     OTHER_CUSTOMER,
-    PAST_ONE_WAIT,
+    PAST_ONE_WAIT_US,
     PLAN,
-    SEND_SPACING,
+    SEND_SPACING_US,
     SLOTS_PLAN,
     TIMED_OUT,
     HeldPair,
@@ -65,9 +65,9 @@
     for world in (pair.member, pair.leader):
         pair.tell(world, dropped)
     for _ in range(MAX_GRANT_REQUESTS - 1):
-        pair.run(PAST_ONE_WAIT)
+        pair.run(PAST_ONE_WAIT_US)
         pair.deliver_all()
-    pair.run(PAST_ONE_WAIT)
+    pair.run(PAST_ONE_WAIT_US)
     assert not pair.member.gateway.admission.awaiting_grant
     assert ANSWERED not in pair.sources
     assert [customer.quota.set_level for customer in pair.leader.gateway.quotas.customers.values()] == []
@@ -85,7 +85,7 @@
     if not admitted:
         pair.tell(pair.member, ClientGone("a"))
     pair.deliver_to_member()  # To the process that asked.
-    successor.tell_spending()
+    successor.relay_spending()
     successor.report()
     assert pair.admitted("a") is admitted
     assert ANSWERED not in successor.sources
@@ -115,7 +115,7 @@
     in_one_datagram = tuple(message for event in pair.to_member for message in event.messages)
     pair.to_member.clear()
     pair.tell(pair.member, PeerMessage(LEADER, in_one_datagram))
-    pair.run(PAST_ONE_WAIT)
+    pair.run(PAST_ONE_WAIT_US)
     pair.deliver_all()
     assert pair.admitted("a")
 
@@ -154,10 +154,10 @@
     """Guards against a successor whose ask, in the same step of the clock, passes for its predecessor's."""
     pair = HeldPair()
     pair.ask("a", units=6.0)
-    [first] = pair.asks()
+    [first] = pair.messages_to_leader()
     pair.deliver_all()
     world = Successor(pair).world
-    actions = world.ask("b", customer=CUSTOMER, units=6.0, set_size=GATEWAYS) + world.run(SEND_SPACING)
+    actions = world.ask("b", customer=CUSTOMER, units=6.0, set_size=GATEWAYS) + world.run(SEND_SPACING_US)
     messages = [message for gossip in of(SendGossip, actions) for message in gossip.messages]
     [second] = [message for message in messages if message.kind is MessageKind.GRANT_REQUEST]
     assert second.grant_number != first.grant_number
@@ -171,8 +171,8 @@
     pair.deliver_to_leader()
     if answer == "lost":
         pair.lose_all()
-    pair.run(PAST_ONE_WAIT)
-    assert len(pair.asks()) == 1
+    pair.run(PAST_ONE_WAIT_US)
+    assert len(pair.messages_to_leader()) == 1
     [snapshot] = of(GatewaySnapshot, pair.tell(pair.leader, StartHandover()))
     successor = World(pair.leader.gateway.settings)
     successor.now = pair.leader.now
@@ -189,7 +189,7 @@
     """Guards against two slots in use for one request, as the leader grants a repetition anew."""
     pair = HeldPair(SLOTS_PLAN)
     pair.ask("a", units=5.0)
-    pair.run(PAST_ONE_WAIT)
+    pair.run(PAST_ONE_WAIT_US)
     while pair.to_leader:
         pair.deliver_to_leader()
     assert pair.customer_at(pair.leader).slots_in_use(pair.leader.now) == 1
@@ -222,7 +222,7 @@
     for _ in range(MAX_GRANT_REQUESTS):
         pair.deliver_to_leader()
         pair.lose_all()
-        pair.run(PAST_ONE_WAIT)
+        pair.run(PAST_ONE_WAIT_US)
     pair.settle()
     assert pair.sources[-1] is TIMED_OUT
     assert pair.counted() == pytest.approx(pair.admitted_units(), abs=0.03)
@@ -237,7 +237,7 @@
     pair.ask("large", units=260.0)  # Its number is that of the clock.
     for number in range(4):
         pair.ask(f"p{number}", units=6.0 + number)
-    pair.run(PAST_ONE_WAIT + 10 * MS)
+    pair.run(PAST_ONE_WAIT_US + 10 * MS)
     while pair.to_leader:
         pair.deliver_to_leader()
     counted = pair.counted() - before
--- a/tests/gateway/test_grant_leader_changes.py
+++ b/tests/gateway/test_grant_leader_changes.py
@@ -13,9 +13,9 @@
     GATEWAYS,
     LEADER,
     MEMBER,
-    PAST_ALL_WAITS,
-    PAST_EXPIRY,
-    PAST_ONE_WAIT,
+    PAST_ALL_WAITS_US,
+    PAST_EXPIRY_US,
+    PAST_ONE_WAIT_US,
     PLAN,
     TIMED_OUT,
     HeldPair,
@@ -35,7 +35,7 @@
         pair.deliver_to_leader()
     pair.restart_leader()
     if late:
-        pair.run(PAST_ALL_WAITS)
+        pair.run(PAST_ALL_WAITS_US)
     pair.deliver_all()
     assert pair.admitted("a")
     pair.check(answered=0 if late else 1)
@@ -53,9 +53,9 @@
     moved = World(replace(settings, gateway_index=LEADER, gateway_count=GATEWAYS + 1))
     answers = of(SendGossip, moved.tell(PeerMessage(MEMBER, sent[0].messages)))
     assert answers == []
-    member.run(PAST_ALL_WAITS)
+    member.run(PAST_ALL_WAITS_US)
     assert sources == [TIMED_OUT]
-    reports = of(SendGossip, member.run(PAST_EXPIRY))
+    reports = of(SendGossip, member.run(PAST_EXPIRY_US))
     reported = [message.spent for gossip in reports for message in gossip.messages]
     [customer] = member.gateway.quotas.customers.values()
     assert sum(reported) + customer.quota.unreported_spend == pytest.approx(6.0)
@@ -82,9 +82,9 @@
         pair.tell(world, moved_plan())
         pair.deliver_all()
     for _ in range(MAX_GRANT_REQUESTS - 1):
-        pair.run(PAST_ONE_WAIT)
+        pair.run(PAST_ONE_WAIT_US)
         pair.deliver_all()
-    pair.run(PAST_ONE_WAIT)
+    pair.run(PAST_ONE_WAIT_US)
     assert pair.admitted("a")
     pair.settle()
     assert pair.counted() == pytest.approx(6.0, abs=0.03)
--- a/tests/gateway/test_grant_numbers.py
+++ b/tests/gateway/test_grant_numbers.py
@@ -14,7 +14,7 @@
     BURST,
     GATEWAYS,
     MEMBER,
-    PAST_ONE_WAIT,
+    PAST_ONE_WAIT_US,
     HeldPair,
     unnumbered,
 )
@@ -37,7 +37,7 @@
     pair.to_leader = [asks[index] for index in ask_order]
     pair.deliver_to_leader()
     pair.deliver_to_leader()
-    answers = pair.answers()
+    answers = pair.messages_to_member()
     assert [answer.requested for answer in answers] == [(6.0, 8.0)[index] for index in ask_order]
     assert [answer.grant_number for answer in answers] == [NO_GRANT_NUMBER] * 2
     followed = sum(answer.requested for answer in answers if answer.level >= answer.requested)
@@ -52,7 +52,7 @@
     pair.deliver_to_leader()
     pair.deliver_to_leader()
     assert pair.counted() == pytest.approx(12.0, abs=0.03)
-    assert [answer.level for answer in pair.answers()] == pytest.approx([20.0, 14.0], abs=0.03)
+    assert [answer.level for answer in pair.messages_to_member()] == pytest.approx([20.0, 14.0], abs=0.03)
 
 
 @pytest.mark.parametrize("answer_order", ORDERS, ids=str)
@@ -87,7 +87,7 @@
     if level < BURST:
         pair.set_leader_level(level)
     pair.ask("a", units=6.0)
-    pair.run(PAST_ONE_WAIT)
+    pair.run(PAST_ONE_WAIT_US)
     pair.to_leader = [unnumbered(event) for event in pair.to_leader]
     pair.deliver_to_leader()
     pair.deliver_to_leader()
@@ -111,7 +111,7 @@
     names = [f"r{number}" for number in range(40)]
     for name in names:
         pair.ask(name, units=6.0)
-    asks = [message for message in pair.asks() if message.kind is MessageKind.GRANT_REQUEST]
+    asks = [message for message in pair.messages_to_leader() if message.kind is MessageKind.GRANT_REQUEST]
     assert sorted(ask.grant_number for ask in asks) == list(range(1, MAX_GRANT_NUMBER + 1))
     assert len(pair.member.gateway.admission.awaiting_grant) == MAX_GRANT_NUMBER
     while pair.to_leader:
@@ -133,19 +133,21 @@
     pair.deliver_all()
     for number in range(1, MAX_GRANT_NUMBER + 1):
         pair.ask(f"r{number}", units=6.0)
-    assert sorted(ask.grant_number for ask in pair.asks()) == list(range(1, MAX_GRANT_NUMBER + 1))
+    assert sorted(ask.grant_number for ask in pair.messages_to_leader()) == list(
+        range(1, MAX_GRANT_NUMBER + 1)
+    )
     pair.deliver_all()
     pair.serve()
     pair.run(GRANT_NUMBER_REUSE_US // 2)
     pair.deliver_all()
     pair.ask("between", units=6.0)
-    assert MessageKind.GRANT_REQUEST not in [message.kind for message in pair.asks()]
+    assert MessageKind.GRANT_REQUEST not in [message.kind for message in pair.messages_to_leader()]
     pair.deliver_all()
     pair.serve()
     pair.run(GRANT_NUMBER_REUSE_US // 2)
     pair.deliver_all()
     pair.ask("again", units=6.0)
-    [ask] = pair.asks()
+    [ask] = pair.messages_to_leader()
     assert ask.kind is MessageKind.GRANT_REQUEST
     pair.deliver_all()
     pair.settle()
@@ -182,11 +184,11 @@
     if level < BURST:
         pair.set_leader_level(level)
     pair.ask("a", units=6.0)
-    pair.run(PAST_ONE_WAIT)
+    pair.run(PAST_ONE_WAIT_US)
     before = pair.counted()
     pair.deliver_to_leader(1)
     pair.deliver_to_leader(0)
-    first, second = pair.answers()
+    first, second = pair.messages_to_member()
     granted = 6.0 if level >= 6.0 else 0.0
     assert pair.counted() - before == pytest.approx(granted, abs=0.03)
     assert first.spent == second.spent == granted
@@ -212,4 +214,4 @@
     pair.to_leader.append(ask)
     pair.deliver_all()
     assert pair.counted() == pytest.approx(12.0, abs=0.03)
-    pair.check(answered=1, granted_unheard=6.0)
+    pair.check(answered=1, granted_unanswered=6.0)
--- a/tests/gateway/test_grant_repeats.py
+++ b/tests/gateway/test_grant_repeats.py
@@ -8,13 +8,13 @@
 from tests.gateway.held_pair import (
     ANSWERED,
     BURST,
-    PAST_ALL_WAITS,
-    PAST_BACKOFF,
-    PAST_EXPIRY,
-    PAST_ONE_WAIT,
+    PAST_ALL_WAITS_US,
+    PAST_BACKOFF_US,
+    PAST_EXPIRY_US,
+    PAST_ONE_WAIT_US,
     TIMED_OUT,
     HeldPair,
-    wait_past_all,
+    wait_until_timed_out,
 )
 
 
@@ -26,7 +26,7 @@
     if level < BURST:
         pair.set_leader_level(level)
     pair.ask("a", units=6.0)
-    pair.run((MAX_GRANT_REQUESTS - 1) * PAST_ONE_WAIT)
+    pair.run((MAX_GRANT_REQUESTS - 1) * PAST_ONE_WAIT_US)
     assert len(pair.to_leader) == MAX_GRANT_REQUESTS
     while pair.to_leader:
         pair.deliver_to_leader()
@@ -46,7 +46,7 @@
     pair = HeldPair()
     pair.set_leader_level(level)
     pair.ask("a", units=6.0)
-    pair.run(PAST_ONE_WAIT)
+    pair.run(PAST_ONE_WAIT_US)
     pair.deliver_to_leader()
     pair.deliver_to_leader()
     pair.deliver_to_member(index)
@@ -59,7 +59,7 @@
     """Guards against a second answer to one request that decides the next, unseen by the leader."""
     pair = HeldPair()
     pair.ask("a", units=6.0)
-    pair.run(PAST_ONE_WAIT)
+    pair.run(PAST_ONE_WAIT_US)
     pair.deliver_to_leader()
     pair.deliver_to_leader()
     pair.deliver_to_member()
@@ -77,7 +77,7 @@
     if lost == "answer":
         pair.deliver_to_leader()
     pair.lose_all()
-    pair.run(PAST_ONE_WAIT)
+    pair.run(PAST_ONE_WAIT_US)
     pair.deliver_all()
     assert pair.admitted("a")
     pair.check(answered=1)
@@ -91,7 +91,7 @@
     if not admitted:
         pair.use_up_allowance()
     pair.ask("a", units=6.0)
-    wait_past_all(pair)
+    wait_until_timed_out(pair)
     del pair.to_leader[asks:]
     assert pair.admitted("a") is admitted
     pair.check(answered=0)
@@ -105,7 +105,7 @@
         pair.use_up_allowance()
     pair.set_leader_level(5.0)
     pair.ask("a", units=6.0)
-    wait_past_all(pair)
+    wait_until_timed_out(pair)
     assert pair.admitted("a") is admitted
     pair.settle()
     assert TIMED_OUT in pair.sources and ANSWERED not in pair.sources
@@ -119,10 +119,10 @@
     pair = HeldPair()
     pair.use_up_allowance()
     pair.ask("late", units=6.0)
-    wait_past_all(pair)
+    wait_until_timed_out(pair)
     del pair.to_leader[1:]
     pair.deliver_to_leader()
-    pair.run(PAST_BACKOFF)
+    pair.run(PAST_BACKOFF_US)
     pair.ask("next", units=next_units)
     assert pair.deliver_to_member() == []
     pair.deliver_all()
@@ -143,8 +143,8 @@
     pair.deliver_to_leader()
     booked = 1.0 if draw == 0.1 else 0.0
     assert pair.counted() - before == pytest.approx(booked, abs=0.001)
-    assert [answer.spent for answer in pair.answers()] == [booked]
-    pair.run(PAST_ALL_WAITS)
+    assert [answer.spent for answer in pair.messages_to_member()] == [booked]
+    pair.run(PAST_ALL_WAITS_US)
     assert pair.sources[-1] is TIMED_OUT
     pair.to_leader.clear()
     pair.check(answered=0)
@@ -157,7 +157,7 @@
     if not admitted:
         pair.use_up_allowance()
     pair.ask("a", units=6.0)
-    wait_past_all(pair)
+    wait_until_timed_out(pair)
     pair.lose_all()
     pair.check(answered=0)
 
@@ -175,10 +175,10 @@
     for _ in range(MAX_GRANT_REQUESTS):
         pair.deliver_to_leader()
         pair.lose_all()
-        pair.run(PAST_ONE_WAIT)
+        pair.run(PAST_ONE_WAIT_US)
     assert pair.sources[-1] is TIMED_OUT
     assert pair.admitted("a") is admitted
-    pair.check(answered=0, granted_unheard=6.0)
+    pair.check(answered=0, granted_unanswered=6.0)
 
 
 @pytest.mark.parametrize("lost", range(MAX_GRANT_REQUESTS - 1))
@@ -186,7 +186,7 @@
     """Guards against units that stay counted or are reported too, where some answers are lost."""
     pair = HeldPair()
     pair.ask("a", units=6.0)
-    wait_past_all(pair)
+    wait_until_timed_out(pair)
     while pair.to_leader:
         pair.deliver_to_leader()
     del pair.to_member[: lost + 1]
@@ -201,7 +201,7 @@
     answer = pair.to_member.pop()
     wait_past_all_but(pair, held=MAX_GRANT_REQUESTS - 1)
     pair.lose_all()
-    pair.run(PAST_EXPIRY)
+    pair.run(PAST_EXPIRY_US)
     pair.report(pair.customer_at(pair.member))
     pair.deliver_all()
     assert pair.counted() == pytest.approx(12.0, abs=0.03)
@@ -211,6 +211,6 @@
 
 def wait_past_all_but(pair: HeldPair, held: int) -> None:
     """Let a request be decided by time-out, with so many of its asks held."""
-    pair.run(PAST_ALL_WAITS)
+    pair.run(PAST_ALL_WAITS_US)
     assert pair.sources[-1] is TIMED_OUT
     assert len(pair.to_leader) == held
--- a/tests/gateway/test_grant_stalls.py
+++ b/tests/gateway/test_grant_stalls.py
@@ -1,4 +1,4 @@
-"""Grant requests of a member that stands still, and messages that come when their number is free again."""
+"""Grant requests of a stalled member, and messages that arrive after their number may be reused."""
 
 import random
 from dataclasses import replace
@@ -13,8 +13,8 @@
     GRANT_REPEAT_WINDOW_US,
 )
 from tests.gateway.held_pair import (
-    PAST_EXPIRY,
-    PAST_ONE_WAIT,
+    PAST_EXPIRY_US,
+    PAST_ONE_WAIT_US,
     PLAN,
     SLOTS_PLAN,
     HeldPair,
@@ -23,17 +23,17 @@
 
 
 def stall(pair: HeldPair, time_us: int) -> None:
-    """The member stands still for so long: it handles no event, and its timers are late."""
+    """Stall the member for a time: it handles no event, and its timers expire late."""
     pair.leader.run(time_us)
     pair.member.now = pair.leader.now
     pair.member.timers = [(max(due, pair.member.now), token) for due, token in pair.member.timers]
 
 
 def test_repeated_answer_after_the_reuse_time_gives_nothing_back() -> None:
-    """Guards against the late answer to a repetition taken for a grant that nobody spends."""
+    """Guards against the late answer to a repeated request being taken for an unspent grant."""
     pair = HeldPair()
     pair.ask("a", units=6.0)
-    pair.run(PAST_ONE_WAIT)
+    pair.run(PAST_ONE_WAIT_US)
     pair.deliver_to_leader()
     pair.deliver_to_leader()
     assert pair.deliver_to_member() == ["a"]
@@ -47,7 +47,7 @@
 @pytest.mark.parametrize("admitted", [False, True])
 @pytest.mark.parametrize("stall_ms", [300, 700, 1100, 2000])
 def test_request_of_a_stalled_member(stall_ms: int, admitted: bool, timer_first: bool) -> None:
-    """Guards against units counted twice where the member reads the answer after it stood still."""
+    """Guards against units counted twice when the member reads the answer after a stall."""
     pair = HeldPair()
     if not admitted:
         pair.use_up_allowance()
@@ -63,7 +63,7 @@
 
 
 def test_number_is_not_reused_while_the_leader_remembers_it() -> None:
-    """Guards against a request that goes uncounted as the leader takes it for an earlier, late one."""
+    """Guards against an uncounted request that the leader takes for an earlier, late one."""
     pair = HeldPair()
     pair.run(GRANT_NUMBER_STEP_US - pair.member.now % GRANT_NUMBER_STEP_US)
     pair.ask("a", units=6.0)
@@ -84,13 +84,13 @@
     """Guards against units of a dropped plan reported under its old index, which is another plan's."""
     pair = HeldPair()
     pair.ask("a", units=6.0)
-    pair.run(3 * PAST_ONE_WAIT)
+    pair.run(3 * PAST_ONE_WAIT_US)
     assert pair.admitted("a")
     pair.lose_all()
     dropped = PolicyChange(SETTINGS.classes, (replace(PLAN, priority_factor=2.0),), frozenset(), 2, (-1,))
     for world in (pair.member, pair.leader):
         pair.tell(world, dropped)
-    pair.run(PAST_EXPIRY)
+    pair.run(PAST_EXPIRY_US)
     pair.deliver_all()
     levels = [customer.quota.set_level for customer in pair.leader.gateway.quotas.customers.values()]
     assert levels == []
@@ -101,7 +101,7 @@
     pair = HeldPair(SLOTS_PLAN)
     pair.ask("a", units=6.0)
     pair.deliver_all()
-    pair.run(PAST_ONE_WAIT)
+    pair.run(PAST_ONE_WAIT_US)
     pair.deliver_all()
     assert pair.member.out
     dropped = PolicyChange(SETTINGS.classes, (replace(SLOTS_PLAN, rate=1.0),), frozenset(), 2, (-1,))
@@ -114,11 +114,11 @@
 
 @pytest.mark.parametrize("answers", [1, 2, 3])
 def test_level_after_late_answers_to_a_rejected_request(answers: int) -> None:
-    """Guards against a member's level that lacks units which were given back."""
+    """Guards against a member's level that does not include returned units."""
     pair = HeldPair()
     pair.use_up_allowance()
     pair.ask("a", units=6.0)
-    pair.run(3 * PAST_ONE_WAIT)
+    pair.run(3 * PAST_ONE_WAIT_US)
     assert not pair.admitted("a")
     del pair.to_leader[answers:]
     while pair.to_leader:
@@ -133,7 +133,7 @@
 
 @pytest.mark.parametrize("seed", range(40))
 def test_random_orders_decide_every_request(seed: int) -> None:
-    """Guards against requests that wait for ever, and state that grows, in any order of events."""
+    """Guards against requests that wait forever, and unbounded state, in any order of events."""
     draw = random.Random(seed)
     plan = replace(PLAN, rate=draw.choice([1e-6, 5.0]), max_in_flight=draw.choice([0, 0, 2]))
     pair = HeldPair(plan, through_codec=draw.random() < 0.5)
@@ -162,7 +162,7 @@
     pair.deliver_all()
     before = len(pair.member.log)
     for _ in range(4):
-        pair.run(3 * PAST_EXPIRY)
+        pair.run(3 * PAST_EXPIRY_US)
         pair.deliver_all()
         pair.serve()
     assert not pair.member.gateway.admission.awaiting_grant
--- a/tests/gateway/test_grant_successors.py
+++ b/tests/gateway/test_grant_successors.py
@@ -15,10 +15,10 @@
     CUSTOMER,
     GATEWAYS,
     MEMBER,
-    PAST_ALL_WAITS,
-    PAST_EXPIRY,
+    PAST_ALL_WAITS_US,
+    PAST_EXPIRY_US,
     PLAN,
-    SEND_SPACING,
+    SEND_SPACING_US,
     TIMED_OUT,
     HeldPair,
     Successor,
@@ -40,7 +40,7 @@
 
 def ask_of(world: World, name: str, units: float = 6.0) -> GossipMessage:
     """A request comes to a gateway; returns its ask."""
-    actions = world.ask(name, customer=CUSTOMER, units=units, set_size=GATEWAYS) + world.run(SEND_SPACING)
+    actions = world.ask(name, customer=CUSTOMER, units=units, set_size=GATEWAYS) + world.run(SEND_SPACING_US)
     messages = [message for gossip in of(SendGossip, actions) for message in gossip.messages]
     [ask] = [message for message in messages if message.kind is MessageKind.GRANT_REQUEST]
     return ask
@@ -85,8 +85,8 @@
     if not admitted:
         pair.tell(pair.member, ClientGone("a"))
     successor.world.tell(pair.to_member.pop())  # The request ends by time-out.
-    pair.run(PAST_ALL_WAITS)
-    successor.tell_spending()
+    pair.run(PAST_ALL_WAITS_US)
+    successor.relay_spending()
     successor.report()
     assert pair.admitted("a") is admitted
     assert ANSWERED not in successor.sources
@@ -100,16 +100,16 @@
     pair.ask("a", units=6.0)
     if counted:
         pair.deliver_to_leader()
-    pair.run(PAST_ALL_WAITS)
+    pair.run(PAST_ALL_WAITS_US)
     assert pair.sources == [TIMED_OUT]
     assert pair.admitted("a")
     successor = Successor(pair)
     for event in pair.to_member:
         successor.world.tell(event)
     pair.lose_all()
-    pair.run(PAST_EXPIRY)
-    successor.world.run(PAST_EXPIRY)
-    successor.tell_spending()
+    pair.run(PAST_EXPIRY_US)
+    successor.world.run(PAST_EXPIRY_US)
+    successor.relay_spending()
     successor.report()
     assert pair.counted() == pytest.approx(6.0, abs=0.03)
 
@@ -124,7 +124,7 @@
     ask = ask_of(world, "b", units=7.0)
     world.tell(pair.to_member.pop())
     pair.tell(pair.leader, PeerMessage(MEMBER, (ask,)))
-    pair.run(SEND_SPACING)
+    pair.run(SEND_SPACING_US)
     [answer] = pair.to_member
     assert (answer.messages[0].requested, answer.messages[0].spent) == (7.0, 7.0)
     world.tell(answer)
@@ -151,7 +151,7 @@
     world = Successor(pair).world
     for name in ("a", "b", "c"):
         pair.ask(name, units=6.0)
-    of_predecessor = {ask.grant_number for ask in pair.asks()}
+    of_predecessor = {ask.grant_number for ask in pair.messages_to_leader()}
     of_successor = {ask_of(world, name).grant_number for name in ("d", "e", "f")}
     assert len(of_predecessor | of_successor) == 6
 
@@ -201,6 +201,6 @@
     answered = GrantRequestSnapshot(key, ask.grant_number, pair.member.now - 10 * MS, 6.0, 6.0, 6.0)
     successor.world.tell(HandoverSpend(key, 0.0, 6.0, (answered,)))
     pair.tell(pair.leader, PeerMessage(MEMBER, (ask,)))
-    pair.run(SEND_SPACING)
+    pair.run(SEND_SPACING_US)
     successor.world.tell(pair.to_member.pop())
     assert sources == [ANSWERED]
--- a/tests/gateway/test_grant_wire.py
+++ b/tests/gateway/test_grant_wire.py
@@ -7,7 +7,7 @@
 from orchidhatch.gateway.events import PeerMessage
 from orchidhatch.gateway.gossip import NO_GRANT_NUMBER, MessageKind
 from orchidhatch.gateway.settings import Plan
-from tests.gateway.held_pair import ANSWERED, LEADER, HeldPair, unnumbered, wait_past_all
+from tests.gateway.held_pair import ANSWERED, LEADER, HeldPair, unnumbered, wait_until_timed_out
 
 
 def test_answer_echoes_the_units_as_they_arrived() -> None:
@@ -84,9 +84,9 @@
     pair.ask("filler", units=5.0, at_leader=True)
     pair.ask("own", units=6.0, at_leader=True)
     pair.ask("a", units=7.0)
-    number = pair.asks()[0].grant_number
+    number = pair.messages_to_leader()[0].grant_number
     pair.deliver_to_leader()
-    [answer] = pair.answers()
+    [answer] = pair.messages_to_member()
     assert answer.grant_number == number != NO_GRANT_NUMBER
     assert answer.spent == 7.0
     assert pair.customer_at(pair.leader).quota.unreported_spend == 0.0
@@ -112,7 +112,7 @@
     """Guards against units that a member takes from its own level, and once more with a late answer."""
     pair = HeldPair(LARGE_PLAN, through_codec=True)
     pair.ask("a", units=250.5)
-    wait_past_all(pair)
+    wait_until_timed_out(pair)
     assert pair.admitted("a")
     pair.deliver_all()
     assert pair.customer_at(pair.member).quota.set_level == pytest.approx(749.5)
--- a/tests/gateway/test_handover_spending.py
+++ b/tests/gateway/test_handover_spending.py
@@ -11,8 +11,8 @@
     BURST,
     CUSTOMER,
     GATEWAYS,
-    PAST_ALL_WAITS,
-    PAST_ONE_WAIT,
+    PAST_ALL_WAITS_US,
+    PAST_ONE_WAIT_US,
     PLAN,
     HeldPair,
     Successor,
@@ -77,7 +77,7 @@
     pair.report(pair.customer_at(pair.member))
     pair.deliver_all()
     assert pair.counted() == pytest.approx(0.0, abs=0.03)
-    successor.tell_spending()
+    successor.relay_spending()
     successor.report()
     assert pair.counted() == pytest.approx(3.0, abs=0.03)
 
@@ -89,11 +89,11 @@
     pair.ask("a", units=6.0)
     pair.deliver_to_leader()
     answer = pair.to_member.pop()
-    pair.run(PAST_ALL_WAITS)
+    pair.run(PAST_ALL_WAITS_US)
     assert pair.admitted("a")
     pair.ask("b", units=1.0)
     successor.world.tell(answer)
-    successor.tell_spending()
+    successor.relay_spending()
     successor.report()
     assert pair.counted() == pytest.approx(7.0, abs=0.03)
 
@@ -107,12 +107,12 @@
     successor = Successor(pair)
     if asked == "after":
         pair.ask("a", units=6.0)
-    pair.run(PAST_ONE_WAIT)
+    pair.run(PAST_ONE_WAIT_US)
     pair.deliver_to_leader()
     pair.deliver_to_leader()
     to_predecessor, to_successor = pair.to_member
     pair.tell(pair.member, to_predecessor)
-    successor.tell_spending()
+    successor.relay_spending()
     successor.world.tell(to_successor)
     successor.report()
     assert pair.sources == [ANSWERED]
--- a/tests/gateway/test_quota_rig.py
+++ b/tests/gateway/test_quota_rig.py
@@ -1,4 +1,4 @@
-"""The quota rule with messages between gateways that are late and lost, by the bounds of issue 53.
+"""The quota rule with delayed and lost messages between gateways, against the bounds of issue 53.
 
 The bounds come from the issue. The rig's long form prints a table of more seeds and links.
 """
@@ -15,31 +15,31 @@
 SEEDS = (1, 2, 3)
 
 MIN_SHARE_LATE = 0.98
-"""The share served that issue 53 asks for where messages are up to 120 ms late and none is lost."""
+"""The share served that issue 53 requires with messages up to 120 ms late and none lost."""
 
 MIN_SHARE_BY_LOSS = {0.1: 0.95, 0.3: 0.88}
-"""The share served that issue 53 asks for where messages are up to 60 ms late, by the loss of messages."""
+"""The share served that issue 53 requires with messages up to 60 ms late, by the fraction lost."""
 
 MAX_BEYOND_QUOTA = 0.1
 """What the operators' standing test permits beyond quotas on a quiet day, as a fraction."""
 
 SPARSE_PLAN = Plan(rate=100.0, burst=200.0)
-"""Its local shares hold many requests of one unit, so that most are reported and need no grant."""
+"""A plan whose local shares cover many requests of one unit, so that most need no grant."""
 
 UNITS_TOLERANCE = 0.01
-"""How far sums of units may differ by the rounding of floats."""
+"""The permitted rounding error of sums of units."""
 
 both_loads = pytest.mark.parametrize("load", [0.9, 3.0])
 
 
 @functools.cache
 def measured(load: float, max_delay_ms: int, loss: float) -> tuple[RigResult, ...]:
-    """One measurement for each seed."""
+    """Return one measurement for each seed."""
     return tuple(measure(RigSettings(seed, load, max_delay_ms * MS, loss)) for seed in SEEDS)
 
 
 def lowest_share(results: tuple[RigResult, ...]) -> float:
-    """The lowest share served of all seeds; overload control must not have limited any."""
+    """Return the lowest share served of all seeds, and check that overload control limited none."""
     assert not any(result.overload_engaged for result in results)
     return min(result.share_served for result in results)
 
@@ -70,7 +70,7 @@
 
 
 def test_customers_of_an_unnameable_plan_keep_to_the_quota() -> None:
-    """Guards against gateways that each admit the whole quota, as no message about it gets through."""
+    """Guards against each gateway admitting the whole quota because no message can name the plan."""
     results = [
         measure(RigSettings(seed, 3.0, 5 * MS, plan_index=MAX_PLAN_INDEX + 1, uses_wire_format=True))
         for seed in SEEDS
@@ -81,14 +81,14 @@
 @both_loads
 @pytest.mark.parametrize("loss", MIN_SHARE_BY_LOSS)
 def test_lost_messages_cost_little_quota(load: float, loss: float) -> None:
-    """Guards against units that a lost answer leaves counted, and spends that no leader learns of."""
+    """Guards against units still counted after a lost answer, and spending never reported to a leader."""
     share = lowest_share(measured(load, 60, loss))
     assert share >= MIN_SHARE_BY_LOSS[loss]
 
 
 @functools.cache
 def measured_reports(load: float, loss: float) -> tuple[RigResult, ...]:
-    """One measurement for each seed where nearly all spending is told the leader by reports."""
+    """Return one measurement for each seed, with nearly all spending sent to the leader in reports."""
     settings = [
         RigSettings(
             seed,
@@ -110,14 +110,14 @@
 
 @pytest.mark.parametrize("loss", [0.3, 0.6])
 def test_lost_reports_admit_little_beyond_the_quota(loss: float) -> None:
-    """Guards against spending that a lost report has said, and that no leader learns of."""
+    """Guards against spending that the leader never counts because its report was lost."""
     beyond = [result.beyond_quota for result in measured_reports(3.0, loss)]
     assert max(beyond) <= MAX_BEYOND_QUOTA, beyond
 
 
 @pytest.mark.parametrize("loss", [0.3, 0.6])
 def test_units_are_conserved_while_reports_are_lost(loss: float) -> None:
-    """Guards against leaders that count lost reports never, or reports that say them again twice."""
+    """Guards against lost reports never being counted, and repeated reports being counted twice."""
     results = measured_reports(0.9, loss)
     overcounted = [ledger.overcounted for result in results for ledger in result.ledgers.values()]
     assert overcounted == pytest.approx([0.0] * len(overcounted), abs=UNITS_TOLERANCE)
@@ -125,7 +125,7 @@
 
 @both_loads
 def test_units_are_conserved_while_messages_are_late(load: float) -> None:
-    """Guards against leaders that count other units as spent than those that were sent to the servers."""
+    """Guards against leaders counting more or fewer units than were sent to the servers."""
     overcounted = [
         round(ledger.overcounted, 3)
         for result in measured(load, 120, 0.0)
@@ -136,7 +136,7 @@
 
 
 def test_units_are_conserved_where_nothing_is_late() -> None:
-    """Guards the rig itself: its ledger closes where every answer comes at once."""
+    """Guards against an error of the rig: its ledger must balance when answers arrive promptly."""
     (result, *_) = measured(0.9, 5, 0.0)
     assert [ledger for ledger in result.ledgers.values() if abs(ledger.overcounted) > UNITS_TOLERANCE] == []
     assert sum(ledger.sent for ledger in result.ledgers.values()) > 0
--- a/tests/gateway/test_report_range.py
+++ b/tests/gateway/test_report_range.py
@@ -11,8 +11,8 @@
 from tests.gateway.held_pair import (
     CUSTOMER,
     MEMBER,
-    PAST_ALL_WAITS,
-    SEND_SPACING,
+    PAST_ALL_WAITS_US,
+    SEND_SPACING_US,
     HeldPairOfLargePlan,
 )
 from tests.helpers import MS
@@ -87,7 +87,7 @@
     pair.deliver_all()
     customer.take(3800.0)
     pair.ask("a", units=300.0)
-    kinds = [message.kind for message in pair.asks()]
+    kinds = [message.kind for message in pair.messages_to_leader()]
     assert kinds == [MessageKind.REPORT] * 5 + [MessageKind.GRANT_REQUEST]
     pair.deliver_all()
     assert not pair.admitted("a")
@@ -98,12 +98,15 @@
     """Guards against a restarted leader that counts twice what the first of several reports leaves out."""
     pair = HeldPairOfLargePlan(Plan(rate=1e-6, burst=1200.0))
     pair.ask("a", units=700.0)
-    pair.run(PAST_ALL_WAITS)
+    pair.run(PAST_ALL_WAITS_US)
     assert pair.admitted("a")
     pair.lose_all()
     pair.restart_leader()
     pair.run(GRANT_REQUEST_TTL_US)
-    assert [message.spent for message in pair.asks()] == [MAX_AMOUNT_UNITS, pytest.approx(700.0 - 655.34)]
+    assert [message.spent for message in pair.messages_to_leader()] == [
+        MAX_AMOUNT_UNITS,
+        pytest.approx(700.0 - 655.34),
+    ]
     pair.deliver_all()
     assert pair.counted() == pytest.approx(700.0, abs=ROUNDING)
 
@@ -117,7 +120,7 @@
     assert len(pair.to_leader) == MAX_EXCESS_REPORTS + 1
     pair.lose_all()
     pair.report(customer)
-    assert [message.demand for message in pair.asks()] == [0.0]
+    assert [message.demand for message in pair.messages_to_leader()] == [0.0]
 
 
 def test_excess_waits_where_the_leader_grants_slots() -> None:
@@ -126,7 +129,7 @@
     customer = pair.new_customer(CUSTOMER)
     customer.take(700.0)
     pair.report(customer)
-    assert [message.spent for message in pair.asks()] == [MAX_AMOUNT_UNITS]
+    assert [message.spent for message in pair.messages_to_leader()] == [MAX_AMOUNT_UNITS]
     pair.run(PAST_DELAY)
     assert len(pair.to_leader) == 1
     pair.report(customer)
@@ -149,7 +152,7 @@
     at_leader.quota.set_level = level
     pair.leader.gateway.quotas.leader.answer(MEMBER, at_leader)
     pair.tell(pair.leader, TimerExpired(0))
-    pair.run(SEND_SPACING)
+    pair.run(SEND_SPACING_US)
     pair.deliver_to_member()
     known_to_leader = at_leader.chance(100.0)
     assert pair.customer_at(pair.member).chance(100.0) == pytest.approx(known_to_leader, abs=0.03)
--- a/tests/gateway/test_slot_repeats.py
+++ b/tests/gateway/test_slot_repeats.py
@@ -3,14 +3,14 @@
 import pytest
 
 from orchidhatch.gateway.settings import Plan
-from tests.gateway.held_pair import PAST_ONE_WAIT, SLOTS_PLAN, HeldPair
+from tests.gateway.held_pair import PAST_ONE_WAIT_US, SLOTS_PLAN, HeldPair
 
 
 def test_repeated_slot_grant_admits_one_request() -> None:
     """Guards against two attempts that use the same slot because its grant arrives twice."""
     pair = HeldPair(SLOTS_PLAN)
     pair.ask("a", units=1.0)
-    pair.run(PAST_ONE_WAIT)
+    pair.run(PAST_ONE_WAIT_US)
     while pair.to_leader:
         pair.deliver_to_leader()
     pair.deliver_to_member()
--- a/tests/gateway/test_spent_totals.py
+++ b/tests/gateway/test_spent_totals.py
@@ -337,7 +337,7 @@
     pair = HeldPair(PLAN)
     pair.ask("a", units=6.0)
     pair.deliver_to_leader()
-    [answer] = pair.answers()
+    [answer] = pair.messages_to_member()
     assert answer.is_answer and answer.spent_total is None
 
 
--- a/tests/gateway/test_spent_totals_handover.py
+++ b/tests/gateway/test_spent_totals_handover.py
@@ -8,7 +8,7 @@
 from orchidhatch.gateway.events import HandoverPeerGone, StartHandover
 from orchidhatch.gateway.settings import Plan
 from orchidhatch.gateway.snapshots import GatewaySnapshot
-from tests.gateway.held_pair import LEADER, SEND_SPACING, HeldPair, Successor
+from tests.gateway.held_pair import LEADER, SEND_SPACING_US, HeldPair, Successor
 from tests.helpers import MS, S, World, of
 
 ROUNDING = 0.03
@@ -50,10 +50,10 @@
     pair.ask("a", units=1.0)
     successor = Successor(pair)
     pair.ask("after", units=2.0)
-    after_snapshot = pair.asks()[1:]
+    after_snapshot = pair.messages_to_leader()[1:]
     assert [message.spent_total for message in after_snapshot] == [None] * len(after_snapshot)
     pair.deliver_all()
-    successor.tell_spending()
+    successor.relay_spending()
     successor.report()
     assert pair.counted() == pytest.approx(3.0, abs=ROUNDING)
     pair.report(pair.customer_at(pair.member))
@@ -151,10 +151,10 @@
     """Guards against a successor's report that is taken for one that was overtaken."""
     pair = HeldPair(LARGE_PLAN)
     pair.ask("a", units=1.0)
-    [sent] = pair.asks()
+    [sent] = pair.messages_to_leader()
     successor = Successor(pair)
     successor.world.gateway.quotas.report_demand(pair.customer_at(successor.world))
-    gossip = of(SendGossip, successor.world.run(SEND_SPACING))
+    gossip = of(SendGossip, successor.world.run(SEND_SPACING_US))
     [message] = [one for part in gossip for one in part.messages if one.customer == sent.customer]
     assert sent.spent_total is not None
     assert message.spent_total is not None
