--- a/orchidhatch/gateway/handover.py
+++ b/orchidhatch/gateway/handover.py
@@ -143,19 +143,19 @@
 
     def on_peer_unknown(self, _: HandoverPeerUnknown) -> None:
         """Hold back requests under a rate ceiling, as another process may be using it up."""
-        self.context.peer_is_unknown = True
+        self.context.has_unknown_peer = True
 
     def on_peer_gone(self, _: HandoverPeerGone) -> None:
         """Handle the end of the other process, which ends its attempts too.
 
-        If it was the successor, this process reports what was left for it to report, if still possible. If it
+        If it was the successor, this process reports again what was left to it, where still possible. If it
         was unknown, it may have used up every rate ceiling, so all of them restart empty.
         """
         self.context.has_handover_peer = False
         if self.context.has_successor:
             self.resume_reporting()
-        if self.context.peer_is_unknown:
-            self.context.peer_is_unknown = False
+        if self.context.has_unknown_peer:
+            self.context.has_unknown_peer = False
             for customer in self.quotas.customers.values():
                 customer.empty_ceiling(self.context.now_us)
         for request_id, attempt in list(self.in_flight):
--- a/orchidhatch/proxy/management_handlers.py
+++ b/orchidhatch/proxy/management_handlers.py
@@ -70,13 +70,13 @@
 
     def _set_maintenance(self, name: str, is_ejected: bool) -> Answer:
         """Eject or readmit a backend in the decision core and in the pools before the call is answered."""
-        result = self.dispatcher.ask(SetEjection(name, is_ejected))
+        result = self.dispatcher.query(SetEjection(name, is_ejected))
         if not result.is_accepted:
             return 404, "unknown backend"
         log.info(
             "operator changed backend: server=%s state=%s", name, "ejected" if is_ejected else "readmitted"
         )
-        self.backends.ban(name, is_ejected)
+        self.backends.set_ejected(name, is_ejected)
         return 200, "left out" if is_ejected else "may serve again"
 
     def leave_service(self) -> Answer:
--- a/orchidhatch/proxy/process_handover.py
+++ b/orchidhatch/proxy/process_handover.py
@@ -39,7 +39,7 @@
         dispatcher: EventDispatcher,
         clients: Clients,
         backends: Backends,
-        catalog: EndpointListReader,
+        endpoint_list_reader: EndpointListReader,
         apply_endpoints: Callable[[EndpointUpdate], None],
         stop_listening: Callable[[], None],
     ) -> None:
@@ -51,7 +51,7 @@
         self.dispatcher = dispatcher
         self.clients = clients
         self.backends = backends
-        self.catalog = catalog
+        self.endpoint_list_reader = endpoint_list_reader
         self.apply_endpoints = apply_endpoints
         self.stop_listening = stop_listening
         self.peer = HandoverPeer(self, shared_directory / HANDOVER_SOCKET) if shared_directory else None
@@ -89,23 +89,29 @@
 
     def resume(self, state: GatewaySnapshot, known: Mapping[str, Any]) -> None:
         """Restore the predecessor's state, and its endpoint list if it is newer than this process's own."""
-        self.catalog.adopt_starts(known, {server.name: server.started_us for server in state.servers})
-        newest = known if known["generation"] > self.catalog.version else self.catalog.snapshot()
-        self.apply_endpoints(self.catalog.read(newest, EndpointListKind.FULL))
+        self.endpoint_list_reader.adopt_starts(
+            known, {server.name: server.started_us for server in state.servers}
+        )
+        newest = (
+            known
+            if known["generation"] > self.endpoint_list_reader.version
+            else self.endpoint_list_reader.snapshot()
+        )
+        self.apply_endpoints(self.endpoint_list_reader.read(newest, EndpointListKind.FULL))
         self.dispatcher.run_batch()
         self.dispatcher.post(state)
         self.dispatcher.run_batch()
         for ejection in state.ejections:
-            self.backends.ban(ejection.server, ejection.is_ejected)
+            self.backends.set_ejected(ejection.server, ejection.is_ejected)
 
     # --- as predecessor ---
 
     def create_handover_state(self) -> dict[str, Any]:
         """Return the fields of the state message for a successor."""
-        state = self.dispatcher.ask(StartHandover())
+        state = self.dispatcher.query(StartHandover())
         return {
             "state": to_plain(state),
-            "known": self.catalog.snapshot(),
+            "known": self.endpoint_list_reader.snapshot(),
             "count": self.socket_counts(),
             **optional_fields(state),
         }
@@ -122,18 +128,18 @@
 
     def socket_counts(self) -> tuple[int, int]:
         """Return the numbers of open sockets to clients and to backends."""
-        return len(self.clients.connections), self.backends.held
+        return len(self.clients.connections), self.backends.connection_count
 
     def set_peer_socket_counts(self, clients: int, backends: int) -> None:
         """Count the other process's sockets toward the limits that both processes share."""
         self.clients.handover_peer_connections = clients
-        self.backends.others = backends
+        self.backends.handover_peer_connections = backends
 
     def apply_peer_event(self, event: Event) -> None:
         """Apply an event of the other process, including an operator's ejection of a backend."""
         self.dispatcher.post(event)
         if isinstance(event, HandoverEjection):
-            self.backends.ban(event.server, event.is_ejected)
+            self.backends.set_ejected(event.server, event.is_ejected)
 
     def send_to_handover_peer(self, action: HandoverMessage) -> None:
         """Send a message of the decision core to the other process, if there is one."""
--- a/orchidhatch/proxy/server.py
+++ b/orchidhatch/proxy/server.py
@@ -42,7 +42,7 @@
 from orchidhatch.proxy.local_errors import error_name, retry_local
 from orchidhatch.proxy.log_writer import LogWriter
 from orchidhatch.proxy.loop_watch import LoopWatch, poll_return_us
-from orchidhatch.proxy.management import Calls, Management
+from orchidhatch.proxy.management import CallRouter, Management
 from orchidhatch.proxy.management_handlers import ManagementHandlers
 from orchidhatch.proxy.metrics import RequestMetrics
 from orchidhatch.proxy.metrics_page import MetricsPage
@@ -82,18 +82,18 @@
         self.max_descriptors = apply_descriptor_limit(config)
         self.core = GatewayCore(create_core_settings(config))
         self.dispatcher = EventDispatcher(self.core, self.account)
-        self.figures = RequestMetrics(config.class_numbers)
+        self.request_metrics = RequestMetrics(config.class_numbers)
         self.guard = Guard()
         self.loop_watch = LoopWatch(turn_us=poll_return_us)
         self.requests = RequestLifecycle(
-            self.active, self.figures, self.dispatcher.post, self.guard, self.loop_watch
+            self.active, self.request_metrics, self.dispatcher.post, self.guard, self.loop_watch
         )
         self._create_connections(config)
         self._create_endpoint_watch(config)
         self._create_process(config)
         self._create_operations(config, writer)
         self.requests.set_collaborators(self.clients, self.backends, self.policy_guard)
-        self.operator_drain.connect(self.policy_guard)
+        self.operator_drain.set_policy_guard(self.policy_guard)
         self.dispatcher.set_handlers(self.action_handlers(), self.requests.fail_on_internal_error)
 
     def _create_connections(self, config: Config) -> None:
@@ -120,11 +120,11 @@
         self.peers.policy_mark = config.settings.policy_mark
 
     def _create_endpoint_watch(self, config: Config) -> None:
-        self.catalog = EndpointListReader(config)
+        self.endpoint_list_reader = EndpointListReader(config)
         known_update = self._apply_known_endpoints(config)
         self.discovery = EndpointWatcher(
             config.discovery,
-            self.catalog,
+            self.endpoint_list_reader,
             known_update.event.version if known_update else 0,
             self.apply_endpoints,
             config.settings.seed,
@@ -146,7 +146,7 @@
             self.dispatcher,
             self.clients,
             self.backends,
-            self.catalog,
+            self.endpoint_list_reader,
             self.apply_endpoints,
             self._stop_listening,
         )
@@ -156,7 +156,7 @@
 
     def _create_operations(self, config: Config, writer: LogWriter | None) -> None:
         # The management server and the metrics page refer to each other, so the server's calls are set last.
-        self.management = Management(Calls({}), self.account)
+        self.management = Management(CallRouter({}), self.account)
         self.queues = WorkQueues(
             self.clients,
             self.backends,
@@ -175,14 +175,14 @@
             self.backends,
             self.metrics_page,
         )
-        self.management.calls = Calls(self.management_handlers.routes())
+        self.management.calls = CallRouter(self.management_handlers.routes())
         self.periodic_log = PeriodicLog(
             self.requests, self.dispatcher, self.clients, self.backends, self.account, self.max_descriptors
         )
 
     def _create_metrics_page(self) -> MetricsPage:
         return MetricsPage(
-            self.figures,
+            self.request_metrics,
             self.dispatcher,
             self.requests,
             self.clients,
@@ -226,7 +226,7 @@
         if not config.known_endpoint_list:
             return None
         try:
-            update = self.catalog.read(config.known_endpoint_list, EndpointListKind.SAVED)
+            update = self.endpoint_list_reader.read(config.known_endpoint_list, EndpointListKind.SAVED)
         except (KeyError, TypeError, ValueError) as error:
             log.error("saved endpoint list malformed: error=%s", error)
             return None
@@ -265,7 +265,7 @@
 
     async def _wait_for_endpoints(self) -> None:
         """Wait briefly for an endpoint list: one newer than the saved list, or any if none is saved."""
-        is_known = bool(self.catalog.entries)
+        is_known = bool(self.endpoint_list_reader.entries)
         received = self.discovery.has_accepted_watch if is_known else self.discovery.has_update
         timeout_s = NEWER_LIST_TIMEOUT_S if is_known else FIRST_LIST_TIMEOUT_S
         try:
--- a/tests/proxy/test_cpu_accounting.py
+++ b/tests/proxy/test_cpu_accounting.py
@@ -151,7 +151,7 @@
         }
         assert all(spent.values()) and sum(spent.values()) <= found["proxy_cpu_seconds_total"]
         assert found['proxy_descriptors{holder="clients"}'] == 1
-        assert found['proxy_descriptors{holder="backends"}'] == gateway.backends.held > 0
+        assert found['proxy_descriptors{holder="backends"}'] == gateway.backends.connection_count > 0
         assert found["proxy_descriptors_limit"] == gateway.max_descriptors
         assert found["proxy_resident_bytes"] > 0 and found["proxy_peak_resident_bytes"] > 0
         assert gateway.account.category is CostCategory.LOOP
@@ -181,4 +181,4 @@
         busy, idle = [line for line in caplog.messages if line.startswith("cost: ")]
         assert "us a request" in busy and "us a request" not in idle
         assert gateway.account.idle_s > 0 and "module" in busy and "descriptors" in busy
-        assert isinstance(gateway.dispatcher.ask(MetricsRequest()), MetricsSnapshot)
+        assert isinstance(gateway.dispatcher.query(MetricsRequest()), MetricsSnapshot)
