--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -29,7 +29,9 @@
 # The command's name stays with operators, so it may be named.
 WITHDRAWN_PHRASES = re.compile(
     r"front doors?\b|list service|(?<!orchidhatch\.)\bstewards?\b|\btwins?\b|\bsightings?\b|"
-    r"\bfennelwinch\b|\bmolereach\b|\bbarred\b|\bkeepers?\b|\bput aside\b",
+    r"\bfennelwinch\b|\bmolereach\b|\bbarred\b|\bkeepers?\b|\bput aside\b|"
+    r"\bin how long\b|\bfor so long\b|\bas it holds\b|\bfor good\b|\bturned away\b|\blet in\b|"
+    r"\bwho (?:waits|asks|connects)\b|\bgoes? by (?:the|it|what)\b|\bat the worst\b",
     re.IGNORECASE,
 )
 PARTS = re.compile(r"[A-Z]?[a-z]+|[A-Z]+(?![a-z])")
