--- a/orchidhatch/control/agent/command.py
+++ b/orchidhatch/control/agent/command.py
@@ -2,7 +2,7 @@
 
     python -m orchidhatch.agent --listen 127.0.0.1:8501 --registry 127.0.0.1:8500 --cache agent.db
 
-Ends with 0 after a signal to end, 1 where it cannot serve, 2 where the options make no sense.
+The exit status is 0 after SIGTERM or SIGINT, 1 if the agent cannot serve, and 2 if the options are invalid.
 """
 
 import argparse
@@ -26,7 +26,7 @@
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """The options; `--door` and its names are what deployments use, the gateway is meant by it."""
+    """Return the parser of the options. Deployments use `--door`, an older name for the gateway."""
     parser = argparse.ArgumentParser(
         prog="orchidhatch.agent",
         description="Replicates the endpoint list for a gateway on the same machine.",
@@ -45,48 +45,48 @@
         "--door",
         type=parse_address,
         metavar="HOST:PORT",
-        help="the gateway's management address; controllers' calls are forwarded there",
+        help="the gateway's management address, to which controllers' calls are forwarded",
     )
     add_policy_options(parser)
     return parser
 
 
 def add_policy_options(parser: argparse.ArgumentParser) -> None:
-    """The options that it takes to hold the gateway's policy lease."""
-    group = parser.add_argument_group("policy", "to keep the gateway to its policy lease: all of these")
-    group.add_argument("--name", help="the gateway's, the same after a restart")
+    """Add the options that are needed to hold the gateway's policy lease."""
+    group = parser.add_argument_group("policy", "hold the gateway's policy lease; all of these are required")
+    group.add_argument("--name", help="the gateway's name, the same after a restart")
     group.add_argument("--zone")
     group.add_argument("--config", type=Path, metavar="FILE", help="the gateway's PROXY_CONFIG")
-    group.add_argument("--pid", type=Path, metavar="FILE", help="holds the gateway's process number")
+    group.add_argument("--pid", type=Path, metavar="FILE", help="holds the gateway's process ID")
     group.add_argument(
         "--check",
         metavar="COMMAND",
-        help="checks the file that PROXY_CONFIG names, as "
+        help="checks the file that PROXY_CONFIG names, for example "
         "'.venv/bin/python -m orchidhatch.proxy --check'; no shell is used",
     )
 
 
 def parse_options() -> argparse.Namespace:
-    """The command's options; ends the process with status 2 where they make no sense."""
+    """Parse the command's options, or exit with status 2 if they are invalid."""
     parser = build_parser()
     options = parser.parse_args()
     policy_options = [options.name, options.zone, options.config, options.pid, options.check]
     is_complete = all(policy_options) and options.door
     if any(policy_options) and not is_complete:
-        parser.error("--name, --zone, --config, --pid, --check and --door go together")
+        parser.error("--name, --zone, --config, --pid, --check and --door must be given together")
     return options
 
 
 def gateway_setup(options: argparse.Namespace) -> GatewaySetup | None:
-    """The gateway whose policy lease is to be held, if any."""
+    """Return the setup of the gateway whose policy lease to hold, None if no lease is held."""
     if not options.check:
         return None
     return GatewaySetup(options.name, options.zone, options.config, options.pid, shlex.split(options.check))
 
 
 async def serve(options: argparse.Namespace) -> None:
-    """Run an agent until a signal to end."""
-    # Agents of many machines that start together must not draw the same random numbers.
+    """Run an agent until SIGTERM or SIGINT."""
+    # Agents that start at the same time on many machines must not draw the same random numbers.
     seed = random.SystemRandom().getrandbits(32) ^ os.getpid()
     agent = Agent(
         open_cache(options.cache),
@@ -113,7 +113,7 @@
 
 
 def main() -> int:
-    """Run the command; see the module for its exit status."""
+    """Run the command and return its exit status, which the module docstring lists."""
     logging.basicConfig(level=logging.INFO, format=LOG_FORMAT)
     options = parse_options()
     try:
--- a/orchidhatch/control/agent/config_checker.py
+++ b/orchidhatch/control/agent/config_checker.py
@@ -1,4 +1,4 @@
-"""Checks a gateway's configuration with the gateway's own program, before it is put in place."""
+"""Checks a gateway's configuration with the gateway's own program before the configuration is installed."""
 
 import asyncio
 import os
@@ -13,16 +13,17 @@
 
 
 class ConfigChecker:
-    """Runs a command that checks the file that PROXY_CONFIG names."""
+    """Runs a command that validates the configuration file named by PROXY_CONFIG."""
 
     def __init__(self, command: Sequence[str], config_file: Path) -> None:
         self._command = command
         self._candidate_file = config_file.with_suffix(".tried")
 
     async def check(self, config_text: str) -> None:
-        """Raise InvalidPolicyError, with the end of what the command says, where it rejects the text.
+        """Check a configuration text with the command.
 
-        Raises OSError where the text cannot be written or the command cannot be started.
+        Raises InvalidPolicyError, with the end of the command's error output, if the command rejects the text
+        or takes too long, and OSError if the text cannot be written or the command cannot be started.
         """
         self._candidate_file.write_text(config_text)
         process = await asyncio.create_subprocess_exec(
@@ -35,11 +36,13 @@
             async with asyncio.timeout(CHECK_TIMEOUT_S):
                 _, errors = await process.communicate()
         except TimeoutError:
-            raise InvalidPolicyError(f"its check took over {CHECK_TIMEOUT_S:g} s") from None
+            raise InvalidPolicyError(f"the configuration check took over {CHECK_TIMEOUT_S:g} s") from None
         finally:
             if process.returncode is None:
                 process.kill()
                 await process.wait()
         if process.returncode:
             text = " ".join(errors.decode(errors="replace").split())
-            raise InvalidPolicyError(text[-MAX_ERROR_CHARACTERS:] or "its check failed")
+            raise InvalidPolicyError(
+                text[-MAX_ERROR_CHARACTERS:] or "the configuration check failed without an error message"
+            )
--- a/orchidhatch/control/agent/fence_table.py
+++ b/orchidhatch/control/agent/fence_table.py
@@ -1,8 +1,7 @@
 """The fencing tokens that a receiver of fenced calls has seen, on disk and in memory.
 
-The highest epoch of each claim is durable before a call in the claim's name is carried out, and so is the
-number of the last call on each subject: what a claim's owner sent before a later call of its own, and was
-delayed on the way, is refused too.
+Before a call under a claim is executed, the claim's highest epoch and the number of the last call on each
+subject are durable. The call numbers reject a delayed call of the same owner that arrives after a later one.
 """
 
 from collections.abc import Mapping
@@ -15,14 +14,14 @@
 
 
 class StaleCallError(Exception):
-    """A fenced call that came after a later one, or in the name of an owner that has lost the claim."""
+    """A fenced call that arrived after a later one, or whose sender has lost the claim."""
 
 
 class FenceTable:
-    """Highest epoch by claim, and highest call number by subject; neither ever goes down.
+    """The highest epoch of each claim and the highest call number of each subject; neither decreases.
 
-    `initialized` is False until the epochs were once taken over from a registry: a table that was lost, or
-    never was, would accept any epoch.
+    `initialized` is False until the epochs were fetched from a registry once: a new table, or one whose file
+    was lost, would accept any epoch.
     """
 
     def __init__(self, database: CacheDatabase) -> None:
@@ -35,11 +34,11 @@
         self.initialized = bool(database.read("SELECT only FROM epochs_known"))
 
     def is_full(self) -> bool:
-        """Whether no more claims or subjects are to be recorded."""
+        """Return whether the limit of recorded claims and subjects is reached."""
         return len(self.epochs) + len(self.call_numbers) >= MAX_CLAIMS_AND_SUBJECTS
 
     def check(self, fence: Fence, subject: str, call_number: int) -> None:
-        """Raise StaleCallError where a higher epoch, or a later call on the subject, was recorded."""
+        """Raise StaleCallError if a higher epoch or a later call on the subject was recorded."""
         highest_epoch = self.epochs.get(fence.claim, 0)
         if fence.epoch < highest_epoch:
             raise StaleCallError(
@@ -50,11 +49,11 @@
             raise StaleCallError(f"act {call_number} on {subject} comes after {last_number}")
 
     async def record(self, fence: Fence, subject: str, call_number: int) -> None:
-        """Make a call's epoch and number durable, where they are higher. Raises sqlite3.Error."""
+        """Make a call's epoch and number durable if they are higher. Raises sqlite3.Error if that fails."""
         await self._raise_to({fence.claim: fence.epoch}, {subject: call_number})
 
     async def initialize(self, epochs: Mapping[str, int]) -> None:
-        """Take over the epochs that hold by now. Raises sqlite3.Error."""
+        """Record the current epochs of a registry. Raises sqlite3.Error if they cannot be saved."""
         await self._raise_to(epochs, {}, initialized=True)
 
     async def _raise_to(
@@ -77,5 +76,5 @@
 
 
 def higher_values(values: Mapping[str, int], known: Mapping[str, int]) -> dict[str, int]:
-    """Those that are above what is known by the same name; an unknown one counts as 0."""
+    """Return the values that exceed the known value of the same name; an unknown name counts as 0."""
     return {name: value for name, value in values.items() if value > known.get(name, 0)}
--- a/orchidhatch/control/agent/gateway_call_handlers.py
+++ b/orchidhatch/control/agent/gateway_call_handlers.py
@@ -1,4 +1,4 @@
-"""The requests that an agent forwards to its gateway. The paths call a gateway a door, as all versions do."""
+"""Handlers of the requests that an agent forwards to its gateway, which the paths call a door."""
 
 from collections.abc import Awaitable
 
@@ -11,7 +11,7 @@
 
 
 class GatewayCallHandlers:
-    """The handlers of one agent."""
+    """The handlers of gateway calls in one agent."""
 
     def __init__(self, calls: GatewayCalls, tasks: BackgroundTasks) -> None:
         self._calls = calls
@@ -32,5 +32,5 @@
 
 
 async def answer_later(connection: Connection, response: Awaitable[Response]) -> None:
-    """Answer a request once its response is known."""
+    """Answer a request once its response is available."""
     connection.answer(await response)
--- a/orchidhatch/control/agent/gateway_calls.py
+++ b/orchidhatch/control/agent/gateway_calls.py
@@ -1,8 +1,8 @@
 """Forwards management calls of controllers to the gateway on the same machine.
 
-A call that changes something is fenced: it names the claim in whose name it is made, the claim's epoch, and
-its own number among that claim's calls. Calls are made one after another: none overtakes another
-between the check of its fence and its effect.
+A call that changes something is fenced: it names the claim under which it is made, the claim's epoch, and its
+own number among that claim's calls. Calls are executed one at a time, so that no other call takes effect
+between the check of a call's fence and its effect.
 """
 
 import asyncio
@@ -26,14 +26,14 @@
 log = logging.getLogger("orchidhatch.gateway_calls")
 
 FENCED_CALLS = {("backends", "maint"), ("backends", "ready"), ("healthcheck", "fail"), ("healthcheck", "ok")}
-QUERIES = {"stats", "healthcheck"}  # they change nothing, and so need no fence
+QUERIES = {"stats", "healthcheck"}  # read-only, so they need no fence
 MAX_QUEUED_CALLS = 100
-CLAIM_HEADER = "Orchidhatch-Claim"  # for the gateway's log; the gateway does not act on it
+CLAIM_HEADER = "Orchidhatch-Claim"  # for the gateway's log only
 
 
 @dataclass(frozen=True, slots=True)
 class FencedCall:
-    """A management call: its path, in whose name it is made, and its number among that claim's."""
+    """A management call: its path, the claim and epoch, and its number among that claim's calls."""
 
     path: tuple[str, ...]
     fence: Fence
@@ -41,22 +41,22 @@
 
     @property
     def subject(self) -> str:
-        """What it is about, such as one backend; each subject's calls are numbered on their own."""
+        """The object of the call, such as one backend. Each subject's calls are numbered separately."""
         return "/".join(self.path[:-1])
 
     def is_known(self) -> bool:
-        """Whether gateways take this call."""
+        """Return whether gateways support this call."""
         return len(self.path) in (2, 3) and (self.path[0], self.path[-1]) in FENCED_CALLS
 
 
 class GatewayAnswer(msgspec.Struct):
-    """The body of a gateway's answer, as this agent's callers get it."""
+    """The body of a gateway's response, as the agent returns it to its callers."""
 
     body: Any = msgspec.field(name="door")
 
 
 class ClaimEpoch(msgspec.Struct):
-    """A claim in the registry's list; the fields that matter here."""
+    """The fields that are needed of a claim in the registry's list."""
 
     name: str
     epoch: int
@@ -69,7 +69,7 @@
 
 
 class GatewayCalls:
-    """The calls to one gateway, and the table of fences that they are checked against."""
+    """The calls to one gateway, and the fence table that they are checked against."""
 
     def __init__(self, fences: FenceTable, replicator: Replicator, gateway: Address) -> None:
         self.fences = fences
@@ -82,7 +82,7 @@
         self._refused_uninitialized = 0
 
     async def query(self, name: str) -> Response:
-        """The gateway's answer to a query, with its status."""
+        """Return the gateway's response to a query, with the gateway's status."""
         try:
             if name not in QUERIES:
                 raise NotFoundError("no such question")
@@ -93,12 +93,12 @@
         return encode_answer(answer.status, answer)
 
     async def forward(self, fenced_call: FencedCall) -> Response:
-        """Make a call once those before it are done, unless its fence is too old."""
+        """Execute a call after the calls queued before it, unless its fence is stale."""
         try:
             if not fenced_call.is_known():
                 raise NotFoundError("no such act")
             if self._queued >= MAX_QUEUED_CALLS:
-                raise UnavailableError("too many acts wait")
+                raise UnavailableError("too many gateway calls are queued; retry later")
             self._queued += 1
             try:
                 async with self._lock:
@@ -109,7 +109,7 @@
             return error_response(error)
 
     async def execute(self, fenced_call: FencedCall) -> Response:
-        """Check and record the fence, then make the call. Raises ControlError."""
+        """Check and record the fence, then send the call. Raises ControlError if the call is refused."""
         await self._initialize_fences()
         subject = fenced_call.subject
         try:
@@ -118,11 +118,11 @@
             self._fenced_off += 1
             raise ConflictError(str(error)) from error
         if self.fences.is_full():
-            raise UnavailableError("too many claims and backends are known here")
+            raise UnavailableError("the fence table of the agent is full")
         try:
             await self.fences.record(fenced_call.fence, subject, fenced_call.call_number)
         except sqlite3.Error as error:
-            raise UnavailableError(f"cannot keep the epoch: {error}") from error
+            raise UnavailableError(f"cannot save the epoch: {error}") from error
         answer = require_answer(await self._send(fenced_call))
         if not 200 <= answer.status < 300:
             return encode_answer(answer.status, answer)
@@ -130,7 +130,7 @@
         return encode_answer(int(HTTPStatus.OK), answer)
 
     def metrics(self) -> dict[str, float]:
-        """The figures by their names on /metrics."""
+        """Return the values of the metrics by their names on /metrics."""
         return {
             "door_acts_total": self._executed,
             "door_late_total": self._fenced_off,
@@ -145,7 +145,7 @@
         return await call(self._gateway, "POST", target, timeout_s=GATEWAY_TIMEOUT_S, headers=headers)
 
     async def _initialize_fences(self) -> None:
-        """Take the epochs over from a registry, if that was never done. Raises UnavailableError."""
+        """Fetch the epochs from a registry unless that was done. Raises UnavailableError if that fails."""
         if self.fences.initialized:
             return
         epochs = await self._fetch_epochs()
@@ -156,10 +156,12 @@
                 log.error("epochs not saved: error=%s", error)
         if not self.fences.initialized:
             self._refused_uninitialized += 1
-            raise UnavailableError("the epochs are not known here, and no registry gives them")
+            raise UnavailableError(
+                "the agent does not know the claims' epochs, and no registry provides them"
+            )
 
     async def _fetch_epochs(self) -> dict[str, int] | None:
-        """Epoch by claim from a registry that is not behind what was replicated; None where there is none."""
+        """Return the epochs by claim, None if the registry fails or its term is behind the replicated one."""
         registry = self._replicator.upstream_address
         result = await call(registry, "GET", "/claims", timeout_s=GATEWAY_TIMEOUT_S)
         if not result.ok or term_of(result.store_name) < self._replicator.highest_term():
@@ -173,12 +175,12 @@
 
 
 def require_answer(result: HttpResponse | NoResponse) -> HttpResponse:
-    """The gateway's response. Raises UnavailableError where there was none."""
+    """Return the gateway's response. Raises UnavailableError if there was none."""
     if isinstance(result, NoResponse):
-        raise UnavailableError(f"the gateway does not answer: {result.reason}")
+        raise UnavailableError(f"the gateway does not respond: {result.reason}")
     return result
 
 
 def encode_answer(status: int, answer: HttpResponse) -> Response:
-    """A response that hands on the body of the gateway's."""
+    """Return a response that contains the body of the gateway's response."""
     return Response(status, msgspec.to_builtins(GatewayAnswer(answer.value)))
--- a/orchidhatch/control/agent/gateway_config.py
+++ b/orchidhatch/control/agent/gateway_config.py
@@ -1,6 +1,6 @@
-"""The gateway's configuration file: composed of its own settings and a policy, and replaced atomically.
+"""The gateway's configuration file: its own settings combined with a policy, and replaced atomically.
 
-The gateway's own settings are kept beside the policy in the file, so that the next policy is applied to them.
+The file also keeps the gateway's own settings, because the next policy is applied to them.
 """
 
 import json
@@ -15,10 +15,10 @@
 
 
 class PolicySection(msgspec.Struct):
-    """The part of the file that says which policy the gateway is under; field names are the file's.
+    """The section of the file that names the gateway's policy; the field names are those of the file.
 
-    `until_us` is when the gateway suspends admission by itself, by the monotonic clock, 0 for never.
-    `silent_ms` is for how long its agent may be silent. `base` are its own settings.
+    `until_us` is when the gateway suspends admission by itself, in microseconds of the monotonic clock, 0 for
+    never. `silent_ms` is the longest permitted silence of its agent. `base` is the gateway's own settings.
     """
 
     number: int
@@ -29,22 +29,23 @@
 
 
 class GatewayConfigFile:
-    """One gateway's configuration file. Other programs may replace it too."""
+    """The configuration file of one gateway. Other programs may also replace it."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
 
     def is_managed(self) -> bool:
-        """Whether the file puts the gateway under a policy."""
+        """Return whether the file has a policy section."""
         try:
             return "policy" in json.loads(self.path.read_bytes())
         except (OSError, ValueError):
             return False
 
     def compose(self, document: str, digest: str, number: int, admission_limit_us: int) -> str:
-        """The file's text for a decision's number and a document, "" with a digest of "" for none.
+        """Return the file's text for a decision's number and a document.
 
-        Raises InvalidPolicyError where the document does not fit, or the present file is malformed.
+        A document and digest of "" stand for no policy. Raises InvalidPolicyError if the document does not
+        match the settings or the current file is malformed.
         """
         try:
             values = json.loads(self.path.read_bytes())
@@ -63,10 +64,10 @@
         return json.dumps(values)
 
     def replace(self, text: str) -> None:
-        """Put a new text in place of the old, either whole or not at all. Raises OSError."""
-        incomplete = self.path.with_suffix(".new")
-        with incomplete.open("w") as file:
+        """Replace the file's text atomically. Raises OSError if it cannot be written."""
+        temporary_file = self.path.with_suffix(".new")
+        with temporary_file.open("w") as file:
             file.write(text)
             file.flush()
             os.fsync(file.fileno())
-        incomplete.replace(self.path)
+        temporary_file.replace(self.path)
--- a/orchidhatch/control/agent/gateway_process.py
+++ b/orchidhatch/control/agent/gateway_process.py
@@ -1,4 +1,4 @@
-"""Signals the gateway's process to read its configuration again."""
+"""Signals the gateway's process to reload its configuration."""
 
 import logging
 import os
@@ -11,17 +11,17 @@
 
 
 class GatewayProcess:
-    """The process that serves by a configuration file, found by a file with its number."""
+    """The process that uses a configuration file, found by its PID file."""
 
     def __init__(self, pid_file: Path, config_file: Path) -> None:
         self._pid_file = pid_file
         self._config_file = config_file
 
     def reload(self) -> None:
-        """Send SIGHUP to the gateway, and to no other process that has its number by now.
+        """Send SIGHUP to the gateway, but not to another process that reuses its process ID.
 
-        A process that cannot be found or signalled is logged; whether the gateway has reloaded is seen at the
-        gateway.
+        A failure to find or signal the process is only logged: the caller checks at the gateway whether it
+        has reloaded.
         """
         try:
             process_number = int(self._pid_file.read_text())
@@ -29,9 +29,9 @@
         except (OSError, ValueError) as error:
             log.warning("gateway process not found: error=%s", error)
             return
-        # From here on the descriptor stands for this process, also if its number is used again.
+        # From here on the descriptor refers to this process, even if its process ID is reused.
         try:
-            if self._serves_by_our_file(process_number):
+            if self._uses_config_file(process_number):
                 signal.pidfd_send_signal(descriptor, signal.SIGHUP)
             else:
                 log.error("process is not the gateway: pid=%d config=%s", process_number, self._config_file)
@@ -40,6 +40,6 @@
         finally:
             os.close(descriptor)
 
-    def _serves_by_our_file(self, process_number: int) -> bool:
+    def _uses_config_file(self, process_number: int) -> bool:
         environment = Path(f"/proc/{process_number}/environ").read_bytes().split(b"\0")
         return f"{CONFIG_VARIABLE}={self._config_file}".encode() in environment
--- a/orchidhatch/control/agent/gateway_setup.py
+++ b/orchidhatch/control/agent/gateway_setup.py
@@ -1,4 +1,4 @@
-"""How an agent is configured for the gateway whose policy lease it holds."""
+"""The configuration of an agent for the gateway whose policy lease it holds."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -9,8 +9,8 @@
 class GatewaySetup:
     """A gateway's name and zone, and how it is configured.
 
-    `config_file` is the file that its PROXY_CONFIG names. `pid_file` holds its process number, written by
-    whoever starts it. `check_command` checks the configuration that PROXY_CONFIG names.
+    `config_file` is the file that its PROXY_CONFIG names. `pid_file` contains its process ID and is written
+    by the program that starts it. `check_command` checks the configuration that PROXY_CONFIG names.
     """
 
     name: str
--- a/orchidhatch/control/agent/gateway_steering.py
+++ b/orchidhatch/control/agent/gateway_steering.py
@@ -1,7 +1,7 @@
-"""Steers a gateway: has it serve by the policy that its lease permits, or by none.
+"""Reconciles a gateway with its policy lease: has it apply the permitted policy, or suspends its admission.
 
-The gateway serves by its configuration file, which is replaced and read again on SIGHUP. Whether it does so
-is seen at the gateway, and one that serves by anything else is taken out of service.
+The gateway's configuration file is replaced, and the gateway reloads it on SIGHUP. The gateway's health
+response shows which policy it applies; a gateway that applies another one is taken out of service.
 """
 
 import asyncio
@@ -20,12 +20,12 @@
 
 log = logging.getLogger("orchidhatch.gateway_steering")
 
-SWITCH_TIMEOUT_S = 2.0  # for the gateway to serve by a new file after SIGHUP
+SWITCH_TIMEOUT_S = 2.0  # for the gateway to apply a new file after SIGHUP
 SWITCH_POLL_INTERVAL_S = 0.02
 
 
 class EndpointWatches(Protocol):
-    """The watches of this agent's endpoint list, by which the gateway notices that its agent is alive."""
+    """The watches of this agent's endpoint list, which show the gateway that its agent is alive."""
 
     def suspend(self) -> None:
         """End all watches and accept none."""
@@ -35,10 +35,10 @@
 
 
 class GatewaySteering:
-    """Compares what a gateway serves by with what it may serve by, and acts on the difference.
+    """Compares the policy that a gateway applies with the permitted one, and acts on the difference.
 
-    `switches` counts configurations that were put in place, `failed_switches` those that the gateway did not
-    serve by in time, and `suspensions` how often a serving gateway was taken out of service.
+    `switches` counts the configurations that were installed, `failed_switches` those that the gateway did not
+    apply in time, and `suspensions` how often a serving gateway was taken out of service.
     """
 
     def __init__(
@@ -64,13 +64,13 @@
         self.suspensions = 0
 
     def permitted_digest(self) -> str | None:
-        """The document that the gateway may serve by now; None if it may not serve."""
+        """Return the digest of the document that the gateway may apply now, None if it may not serve."""
         return self._lease.permitted_digest()
 
     def compose_config(self, digest: str) -> str:
-        """The configuration for the present decision and this document, "" for none.
+        """Return the configuration for the current decision and this document, "" for none.
 
-        Raises InvalidPolicyError.
+        Raises InvalidPolicyError if the document does not match the gateway's settings.
         """
         decision = self._lease.decision
         return self._config_file.compose(
@@ -81,11 +81,11 @@
         )
 
     async def steer(self) -> None:
-        """Look at the gateway once, and do what follows from it."""
+        """Poll the gateway once, and switch its policy or its admission if necessary."""
         status = await self.gateway.poll_health()
         permitted = self.permitted_digest()
         if not self._config_file.is_managed():
-            # The first time, or another program has replaced the file.
+            # No policy was installed yet, or another program has replaced the file.
             if permitted is not None and status is not None:
                 await self._switch_to(permitted)
         elif permitted is None:
@@ -105,7 +105,7 @@
     async def _suspend(self, status: int | None) -> None:
         """Have the gateway admit no clients.
 
-        One that cannot be reached is not sent the endpoint list either, and suspends admission by itself.
+        A gateway that cannot be reached no longer gets the endpoint list, so it suspends admission itself.
         """
         if status == HTTPStatus.OK:
             self.suspensions += 1
@@ -117,7 +117,7 @@
             self._watches.suspend()
 
     async def _switch_to(self, digest: str) -> None:
-        """Have the gateway serve by this document; one that does not is taken out of service."""
+        """Have the gateway apply this document, or suspend its admission if it does not in time."""
         if digest and digest not in self._documents.texts:
             await self._suspend(HTTPStatus.OK)
             return
--- a/orchidhatch/control/agent/policy_documents.py
+++ b/orchidhatch/control/agent/policy_documents.py
@@ -1,4 +1,4 @@
-"""The policy documents that an agent has ready: fetched, kept on disk and checked by the gateway."""
+"""The policy documents of an agent: fetched, saved to disk and checked with the gateway's program."""
 
 import logging
 from collections.abc import Awaitable, Callable, Collection
@@ -11,7 +11,7 @@
 
 log = logging.getLogger("orchidhatch.policy_documents")
 
-# The present, the previous and a proposed one, and some that may be asked for again.
+# The current, the previous and a proposed document, and some that may be needed again.
 MAX_DOCUMENTS = 6
 MAX_REJECTION_CHARACTERS = 300
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectedDocument:
-    """A document that the gateway's program does not accept, and why."""
+    """A document that the gateway's program rejects, and the reason."""
 
     digest: str
     reason: str
@@ -32,7 +32,7 @@
 class PolicyDocuments:
     """Documents by digest. A document is ready once it is on disk and checked.
 
-    `check` raises InvalidPolicyError for the document of a digest that the gateway could not serve by.
+    `check` raises InvalidPolicyError for the digest of a document that the gateway cannot apply.
     """
 
     def __init__(self, database: CacheDatabase, registry: RegistryClient, check: CheckDocument) -> None:
@@ -50,10 +50,10 @@
         self.rejected: RejectedDocument | None = None
 
     async def prepare(self, needed: Collection[str], in_use: Collection[str]) -> None:
-        """Have the needed documents ready, and drop others where there are too many, but none in use.
+        """Fetch, save and check the needed documents, and drop unused ones beyond MAX_DOCUMENTS.
 
-        A rejection is forgotten once its document is not needed: it may be proposed again when the gateway
-        accepts it. Raises OSError or sqlite3.Error.
+        A rejection is forgotten once its document is not needed: the document may be proposed again when the
+        gateway accepts it. Raises OSError or sqlite3.Error if a document cannot be checked or saved.
         """
         if self.rejected and self.rejected.digest not in needed:
             self.rejected = None
@@ -78,7 +78,7 @@
             self.checked.add(digest)
 
     async def _fetch(self, digest: str) -> str | None:
-        """The document's text from the registry; None where it does not give the text of this digest."""
+        """Return the document's text from the registry, None if it fails or the text has another digest."""
         result = await self._registry.call("GET", f"/records/{DOCUMENT_RECORD_PREFIX}{digest}")
         if not result.ok:
             return None
--- a/orchidhatch/control/agent/policy_lease.py
+++ b/orchidhatch/control/agent/policy_lease.py
@@ -1,7 +1,7 @@
-"""The policy lease of one gateway: what the gateway may serve by, and until when.
+"""The policy lease of one gateway: which policy the gateway may apply, and until when.
 
-The lease is renewed at a registry, which answers with the decision that holds. A renewal that is answered
-entitles the gateway to serve for LEASE_S from its sending. The decision is kept on disk, the lease is not.
+The lease is renewed at a registry, which answers with the current decision. An answered renewal permits the
+gateway to serve for LEASE_S after the renewal was sent. The decision is saved to disk, the lease is not.
 """
 
 import logging
@@ -29,7 +29,7 @@
 
 
 class PolicyLeaseClient:
-    """The lease and the decision of one gateway, and which documents the registry wants of its agent."""
+    """The lease and the decision of one gateway, and the documents that the registry needs from its agent."""
 
     def __init__(
         self,
@@ -49,8 +49,8 @@
             "number INTEGER NOT NULL, digest TEXT NOT NULL, before TEXT NOT NULL)"
         )
         rows = database.read("SELECT life, number, digest, before FROM policy_heard")
-        # One agent at a time has this file. The incarnation goes on with it, so that a restarted agent does
-        # not have to wait for the end of its own lease.
+        # Only one agent at a time can open this file. The incarnation is saved in it, so that a restarted
+        # agent does not have to wait until its own lease expires.
         self.incarnation: str = rows[0][0] if rows else secrets.token_hex(8)
         self.decision = PolicyDecision(*rows[0][1:]) if rows else PolicyDecision()
         self.expires_at_s = -math.inf
@@ -58,27 +58,27 @@
         self.needed_digests: frozenset[str] = frozenset()
 
     def remaining_s(self) -> float:
-        """Time until the lease expires; negative after that."""
+        """Return the time until the lease expires, in seconds; negative after that."""
         return self.expires_at_s - self._clock()
 
     def permitted_digest(self) -> str | None:
-        """The document that the gateway may serve by now, "" for none; None if it may not serve."""
+        """Return the digest that the gateway may apply now, "" for no policy, None if it may not serve."""
         now_s = self._clock()
         if now_s >= self.expires_at_s:
             return None
         return self.decision.digest_at(now_s)
 
     def time_until_activation_ms(self) -> int | None:
-        """Time until the decision's activation, negative after it; None if it is not known."""
+        """Return the time until the decision's activation, negative after it, None if unknown."""
         activation_time_s = self.decision.activation_time_s()
         if not self.decision.number or math.isinf(activation_time_s):
             return None
         return round((activation_time_s - self._clock()) * 1000)
 
     async def renew(self, renewal: PolicyLeaseRenewal) -> None:
-        """Renew the lease, or enter the gateway directory where the registry does not list this agent's.
+        """Renew the lease, or register the gateway if the registry does not list this incarnation.
 
-        Raises sqlite3.Error where a new decision cannot be saved; the lease is not extended then.
+        Raises sqlite3.Error if a new decision cannot be saved; the lease is not extended then.
         """
         sent_s = self._clock()
         path = f"/doors/{quote(self._gateway_name, safe='')}/renew"
@@ -91,7 +91,7 @@
     async def apply_answer(self, answer: PolicyLeaseAnswer, sent_s: float) -> None:
         """Extend the lease by the answer to a renewal that was sent at `sent_s`.
 
-        An answer that is behind what was known before is ignored. Raises sqlite3.Error as `renew` does.
+        An answer with an older decision than the known one is ignored. Raises sqlite3.Error like `renew`.
         """
         self.requested_digest = answer.requested_digest
         if answer.is_certain:
@@ -133,7 +133,7 @@
 
 
 def is_not_registered(result: CallResult) -> bool:
-    """Whether the registry does not list this incarnation of the gateway's agent."""
+    """Return whether the registry does not list this incarnation of the gateway's agent."""
     if result.status == HTTPStatus.NOT_FOUND:
         return True
     return result.status == HTTPStatus.CONFLICT and OTHER_INCARNATION_SIGN in str(result.value)
--- a/orchidhatch/control/agent/policy_lease_holder.py
+++ b/orchidhatch/control/agent/policy_lease_holder.py
@@ -1,8 +1,7 @@
-"""Holds the policy lease of the gateway on the same machine, and keeps the gateway to it.
+"""Holds the policy lease of the gateway on the same machine, and enforces it on the gateway.
 
-While a registry says which policy holds, the gateway serves by that one: until the activation time of the
-last decision by the previous policy, from then on by the new one. Once the lease has expired it serves by
-none.
+While the lease is renewed, the gateway applies the registry's policy: the previous one until the activation
+time of the last decision, the new one from then on. Once the lease has expired, its admission is suspended.
 """
 
 import asyncio
@@ -35,7 +34,7 @@
 
 
 class PolicyLeaseHolder:
-    """Wires the lease, the documents and the steering of one gateway, and runs them."""
+    """Connects the lease, the documents and the steering of one gateway, and runs their loops."""
 
     def __init__(
         self,
@@ -64,24 +63,25 @@
         )
 
     def loops(self) -> list[Coroutine[None, None, None]]:
-        """What is to run as tasks until they are cancelled; the caller owns them."""
+        """Return the loops, which the caller runs as tasks until it cancels them."""
         return [self._renew_forever(), self._prepare_forever(), self._steer_forever()]
 
     async def renew(self) -> None:
-        """Renew the lease, with how the gateway is. Raises sqlite3.Error."""
+        """Renew the lease and report the gateway's state. Raises sqlite3.Error if saving a decision fails."""
         await self.lease.renew(self._renewal())
 
     async def prepare_documents(self) -> None:
-        """Have the documents ready that the registry has named. Raises OSError or sqlite3.Error.
+        """Prepare the documents that the registry has named.
 
-        That takes its time, and no renewal waits for it.
+        This may take seconds, so renewals do not wait for it. Raises OSError or sqlite3.Error if a document
+        cannot be checked or saved.
         """
         decision = self.lease.decision
         in_use = {decision.digest, decision.previous_digest}
         await self.documents.prepare(self.lease.needed_digests, in_use)
 
     def metrics(self) -> dict[str, float]:
-        """The figures by their names on /metrics."""
+        """Return the values of the metrics by their names on /metrics."""
         return {
             "policy_lease_seconds": round(max(-1.0, self.lease.remaining_s()), 3),
             "policy_number": self.lease.decision.number & NUMBER_METRIC_MASK,
@@ -115,9 +115,9 @@
         while True:
             try:
                 await self.renew()
-            except sqlite3.Error as error:  # a disk that is full: the decision holds in memory
+            except sqlite3.Error as error:  # such as a full disk; the decision is kept in memory
                 log.error("decision not saved: number=%d error=%s", self.lease.decision.number, error)
-            except Exception:  # as over an answer of another version: the next may be sound
+            except Exception:  # such as an answer of another version; the next one may be valid
                 log.exception("policy lease not renewed")
             await asyncio.sleep(LEASE_S / RENEWALS_PER_LEASE)
 
@@ -127,7 +127,7 @@
             try:
                 await self.prepare_documents()
                 last_error = ""
-            except (sqlite3.Error, OSError) as error:  # a disk that is full: repeated at the next step
+            except (sqlite3.Error, OSError) as error:  # such as a full disk; retried in the next step
                 if str(error) != last_error:
                     log.error("documents not prepared: error=%s", error)
                 last_error = str(error)
@@ -148,7 +148,7 @@
             await asyncio.sleep(self._next_steer_in_s())
 
     def _next_steer_in_s(self) -> float:
-        """Until the next steer: no later than the activation time, so that the switch comes in time."""
+        """Return the delay until the next steer, which comes no later than the activation time."""
         until_activation_s = self.lease.decision.activation_time_s() - self._clock()
         if until_activation_s <= 0:
             return STEER_INTERVAL_S
--- a/orchidhatch/control/agent/service.py
+++ b/orchidhatch/control/agent/service.py
@@ -1,7 +1,7 @@
 """The agent on a gateway's machine: replicates the endpoint list from registries and serves it on loopback.
 
-While no registry answers it serves the list that it received last, also after a restart, and says how old
-that is. It also forwards controllers' management calls to the gateway, and holds the gateway's policy lease.
+While no registry answers, it serves the list that it received last, also after a restart, and reports the
+list's age. It also forwards controllers' management calls to the gateway and holds its policy lease.
 """
 
 import logging
@@ -33,7 +33,7 @@
 
 
 class AgentHealth(msgspec.Struct, rename="camel"):
-    """The body of /healthcheck; field names are on the wire."""
+    """The body of /healthcheck; its field names are used on the wire."""
 
     health: str
     connected: bool
@@ -42,10 +42,10 @@
 
 
 class Agent(EndpointListServer):
-    """Serves the endpoint list from a store of its own, whose generations only rise.
+    """Serves the endpoint list from its own store, whose generations never decrease.
 
-    `gateway` is the address of the gateway's management calls; without it no calls are forwarded. With
-    `setup` the agent holds the gateway's policy lease too.
+    `gateway` is the address of the gateway's management interface; without it no calls are forwarded. With
+    `setup` the agent also holds the gateway's policy lease.
     """
 
     def __init__(
@@ -73,11 +73,11 @@
             self.lease_holder = PolicyLeaseHolder(self.database, self.broadcaster, registries, gateway, setup)
 
     def store_name(self) -> str:
-        """The name that responses carry: the agent's own store with the term of the list in it."""
+        """Return the store name for responses: the identity of the agent's store and the list's term."""
         return f"{self.store.identity} {self.replicator.highest_term()}"
 
     async def start(self, host: str, port: int) -> None:
-        """Serve, replicate and hold the lease until closed."""
+        """Start to serve, replicate and hold the lease, until closed."""
         await super().start(host, port)
         loops = [self.replicator.run(), self.readiness.wait()]
         if self.lease_holder:
@@ -85,11 +85,11 @@
         self.tasks.start_loops(loops)
 
     def when_ready(self, begin: Callable[[], None]) -> None:
-        """Begin a watch once a registry's list has arrived, or none answers."""
+        """Begin a watch once a registry's list has arrived or no registry answers."""
         self.readiness.when_ready(begin)
 
     def health(self) -> Response:
-        """Healthy once a list was ever received, however old it is."""
+        """Return status 200 once a list was received, however old it is, else 503."""
         health = AgentHealth(
             health="serves",
             connected=self.replicator.connected,
@@ -99,7 +99,7 @@
         return Response(200 if self.replicator.has_list else 503, msgspec.to_builtins(health))
 
     def metrics_text(self) -> str:
-        """The text of /metrics."""
+        """Return the text of /metrics."""
         replicator = self.replicator
         values: dict[str, float] = {
             "connected": int(replicator.connected),
@@ -119,10 +119,10 @@
 
 
 def open_cache(path: Path) -> Store:
-    """Open the store of the list that was received last; a damaged one is set aside and begun anew.
+    """Open the store with the list that was received last; a damaged file is set aside and replaced.
 
-    The registries have all that is in it. So where the disk fails, the list is kept in memory until the next
-    start. Raises StoreError where another process has the file or the folder is not there.
+    The registries have all of its content, so if the disk fails the list is kept in memory until the next
+    start. Raises StoreError if another process has locked the file or its directory does not exist.
     """
     try:
         return open_sound_cache(path)
@@ -134,7 +134,7 @@
 
 
 def open_sound_cache(path: Path) -> Store:
-    """Open the file, or a new one in place of a damaged one. Raises StoreError or OSError."""
+    """Open the file, or replace a damaged one. Raises StoreError or OSError if neither is possible."""
     try:
         return Store(path, create=True, first=current_time_ms())
     except CorruptStoreError as error:
