--- a/orchidhatch/control/addresses.py
+++ b/orchidhatch/control/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses on command lines."""
+"""Parses addresses in command-line options."""
 
 import argparse
 
@@ -8,7 +8,7 @@
 
 
 def parse_address(text: str) -> Address:
-    """The address in host:port. Raises argparse.ArgumentTypeError."""
+    """Parse an address of the form host:port. Raises argparse.ArgumentTypeError if it is malformed."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdecimal() or int(port) > MAX_PORT:
         raise argparse.ArgumentTypeError(f"'{text}' is not host:port")
--- a/orchidhatch/control/cli_commands.py
+++ b/orchidhatch/control/cli_commands.py
@@ -1,6 +1,6 @@
-"""What each command of the operators' command line does: one or two requests, and lines on the output.
+"""The commands of the operators' command line: each sends one or two requests and prints the result.
 
-Each function gets the parsed options and raises CallError where the command was refused.
+Each command function gets the parsed options and raises CallError if the command is refused.
 """
 
 import argparse
@@ -50,19 +50,19 @@
 
 
 def path_segment(name: str) -> str:
-    """A name as one segment of a path."""
+    """Return a name quoted as one segment of a path."""
     return quote(name, safe="")
 
 
 def format_endpoint(endpoint: dict[str, Any]) -> str:
-    """The fields that the registry gave, in columns; how many there are depends on the request."""
+    """Return the fields in the registry's response, separated by tabs; the request determines which exist."""
     return "\t".join(str(endpoint[name]) for name in ENDPOINT_FIELDS if name in endpoint)
 
 
 def print_watch_event(event: dict[str, Any]) -> None:
-    """A list or the changes to it, an endpoint a line."""
-    kind = "the whole list" if event["reset"] else "changes"
-    print(f"generation {event['generation']}, {kind}:")
+    """Print the whole list or the changes to it, one endpoint a line."""
+    extent = "the whole list" if event["reset"] else "changes"
+    print(f"generation {event['generation']}, {extent}:")
     for endpoint in event["instances"]:
         print(format_endpoint(endpoint))
     sys.stdout.flush()
@@ -147,7 +147,7 @@
 
 
 def request_drain(options: argparse.Namespace) -> None:
-    """Have the controllers drain an endpoint, unless they are draining it."""
+    """Have the controllers drain an endpoint. Raises CallError if they are already draining it."""
     record_name = f"{TASK_RECORD_PREFIX}drain-{options.id}"
     records = call_for(RecordList, options.at, "GET", "/records").records
     existing = next((record for record in records if record.name == record_name), None)
@@ -159,12 +159,12 @@
 
 
 def request_repeated(options: argparse.Namespace, task: BackupRecord | SummaryRecord) -> None:
-    """Have the controllers repeat a command; asked for again, the task begins anew."""
+    """Have the controllers repeat a command; a second request restarts the task."""
     put_task(options.at, options.command, PutRecord(encode_task_record(task)))
 
 
 def show_summary(options: argparse.Namespace) -> None:
-    """Print the fleet's summary as it was read last, or with --every have it read repeatedly."""
+    """Print the last summary of the fleet, or with --every have the controllers update it repeatedly."""
     if options.every:
         request_repeated(options, new_summary(round(options.every * 1000)))
         return
@@ -175,7 +175,7 @@
 
 
 def set_lease_expiry(options: argparse.Namespace) -> None:
-    """Have the controllers remove endpoints whose leases have expired, or the registry itself."""
+    """Set whether the controllers or the registry itself remove endpoints with expired leases."""
     if options.ended_by == "stewards":
         put_task(options.at, "leases", PutRecord(encode_task_record(LeaseExpiryRecord())))
         return
@@ -206,7 +206,7 @@
 
 
 def hand_over_claim(options: argparse.Namespace) -> None:
-    """Release a claim on behalf of its holder, so that another holder takes it."""
+    """Release a claim on behalf of its holder, so that another controller can take it."""
     claims = call_for(ClaimList, options.at, "GET", "/claims").claims
     claim = next((claim for claim in claims if claim.name == options.id), None)
     if claim is None or not claim.holder:
@@ -217,13 +217,13 @@
 
 
 def suspend_claim(options: argparse.Namespace) -> None:
-    """Have nobody take a claim."""
+    """Suspend a claim, so that no controller can take it."""
     call(options.at, "POST", f"/claims/{path_segment(options.id)}/hold", {"on": True})
     print(f"{options.id} is put aside")
 
 
 def resume_claim(options: argparse.Namespace) -> None:
-    """Let a suspended claim be taken again."""
+    """Resume a suspended claim, so that controllers can take it again."""
     call(options.at, "POST", f"/claims/{path_segment(options.id)}/hold", {"on": False})
     print(f"{options.id} is free to be taken")
 
@@ -242,8 +242,8 @@
 
 def promote(options: argparse.Namespace) -> None:
     """Have a replica accept writes in a new term."""
-    done = call_for(Promotion, options.at, "POST", "/promote", {"force": options.force})
+    promotion = call_for(Promotion, options.at, "POST", "/promote", {"force": options.force})
     print(
-        f"term {done.term}, generation {done.generation}, {done.entries} entries;"
-        f" last heard {done.lag_seconds:.1f} s ago, at generation {done.received_generation}"
+        f"term {promotion.term}, generation {promotion.generation}, {promotion.entries} entries;"
+        f" last heard {promotion.lag_seconds:.1f} s ago, at generation {promotion.received_generation}"
     )
--- a/orchidhatch/control/cli_messages.py
+++ b/orchidhatch/control/cli_messages.py
@@ -1,4 +1,4 @@
-"""Requests and responses of the operators' command line; what is given by `name` is so on the wire."""
+"""Requests and responses of the operators' command line; `name` gives a field's name on the wire."""
 
 from typing import Any
 
@@ -38,7 +38,7 @@
 
 
 class Promotion(msgspec.Struct, rename="camel"):
-    """What a replica tells of its promotion."""
+    """A replica's response to its promotion."""
 
     term: int
     generation: int
@@ -48,7 +48,7 @@
 
 
 class ReleaseClaim(msgspec.Struct, rename="camel"):
-    """A claim that its holder is to hand over; field names are on the wire."""
+    """A claim to be released to another holder."""
 
     handed_to: str = msgspec.field(name="to")
     holder: str
@@ -57,7 +57,7 @@
 
 
 class RegisterEndpoint(msgspec.Struct, rename="camel", omit_defaults=True):
-    """An endpoint to be registered; field names are on the wire, and what is None is left out."""
+    """An endpoint to be registered; fields that are None are omitted."""
 
     instance_id: str
     host_port: str
@@ -71,25 +71,25 @@
 
 
 class ChangeLifecycle(msgspec.Struct, rename="camel", omit_defaults=True):
-    """A new lifecycle of an endpoint, with a condition if it has one."""
+    """A new lifecycle of an endpoint, with an optional condition."""
 
     lifecycle: str
     if_version: int | None = None
 
 
 class RemoveEndpoint(msgspec.Struct, rename="camel", omit_defaults=True):
-    """The condition of a removal, if it has one."""
+    """The optional condition of a removal."""
 
     if_version: int | None = None
 
 
 class PutRecord(msgspec.Struct, rename="camel", omit_defaults=True):
-    """The new text of a record, "" to delete it, with a condition if it has one."""
+    """The new text of a record, "" to delete it, with an optional condition."""
 
     text: str
     if_version: int | None = None
 
 
 def body_of(message: msgspec.Struct) -> dict[str, Any]:
-    """The JSON object of a message."""
+    """Return the JSON object of a message."""
     return msgspec.to_builtins(message)
--- a/orchidhatch/control/errors.py
+++ b/orchidhatch/control/errors.py
@@ -1,12 +1,12 @@
 """Errors of the control plane, by cause.
 
-Each says in one plain line what went wrong and for which object. `STATUS_OF_ERROR` in
-`orchidhatch.control.http_response` is the one place that gives them an HTTP status.
+Each message states in one line what failed and for which object. `STATUS_OF_ERROR` in
+`orchidhatch.control.http_response` alone maps the errors to HTTP statuses.
 """
 
 
 class ControlError(Exception):
-    """Any error that a request to the control plane may be answered with."""
+    """The base class of errors in responses of the control plane."""
 
 
 class InvalidRequestError(ControlError):
@@ -14,7 +14,7 @@
 
 
 class RequestTooLargeError(ControlError):
-    """The body of the request is longer than is read."""
+    """The body of the request exceeds the size limit."""
 
 
 class RequestTimeoutError(ControlError):
@@ -22,10 +22,10 @@
 
 
 class ConflictError(ControlError):
-    """The request does not fit the current state; nothing was changed.
+    """The request conflicts with the current state; nothing was changed.
 
-    One exception: a registry that learns that it was replaced while a batch is on its way to its disk rejects
-    the batch's writes with this error, though they are durable there.
+    One exception: a registry that learns that it was replaced while it writes a batch to disk rejects the
+    batch's writes with this error, although they are durable there.
     """
 
 
@@ -42,4 +42,4 @@
 
 
 class CorruptStoreError(StoreError):
-    """The content of the store's file is not what was written. The file is left as it is, for inspection."""
+    """The content of the store's file is corrupt. The file is left unchanged for inspection."""
--- a/orchidhatch/control/field_types.py
+++ b/orchidhatch/control/field_types.py
@@ -1,4 +1,4 @@
-"""The types of fields in messages of the control plane, with their bounds. msgspec checks them."""
+"""The types of fields in messages of the control plane, with the bounds that msgspec checks."""
 
 import ipaddress
 import re
@@ -16,10 +16,10 @@
 MAX_WEIGHT = 1000.0
 MIN_LEASE_MS = 100
 MAX_LEASE_MS = 24 * 3600 * 1000
-MAX_INTEGER = 1 << 53  # what JSON's numbers hold exactly in any language
+MAX_INTEGER = 1 << 53  # the largest integer that JSON numbers represent exactly in any language
 MAX_PORT = 65535
-MAX_READY_DOCUMENTS = 8  # that an agent may say that it has
-COUNTS = 3  # of an agent's gateway
+MAX_READY_DOCUMENTS = 8  # the most documents that an agent may report as ready
+COUNTS = 3  # the number of request counts that an agent reports for its gateway
 
 NAME_PATTERN = r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}"
 DIGEST_PATTERN = r"([0-9a-f]{16})?"
@@ -40,7 +40,7 @@
 
 
 class Check(StrEnum):
-    """A check of a text that a pattern cannot express."""
+    """A check of a text that a pattern cannot express; the value is the error message."""
 
     PRINTABLE = "only printable characters are allowed"
     ADDRESS = "an IPv4 address and a port from 1 to 65535 are needed, as 10.0.0.4:6379"
@@ -48,7 +48,7 @@
 
 
 def is_address(text: str) -> bool:
-    """Whether a text is an IPv4 address and a port. A gateway has no DNS, so a name would be of no use."""
+    """Return whether a text is an IPv4 address and a port. Gateways have no DNS, so host names fail."""
     match = ADDRESS.fullmatch(text)
     if not match or int(match[2]) > MAX_PORT:
         return False
@@ -60,7 +60,7 @@
 
 
 def passes(check: Check, text: str) -> bool:
-    """Whether a text passes a check."""
+    """Return whether a text passes a check."""
     match check:
         case Check.PRINTABLE:
             return text.isprintable()
@@ -71,7 +71,7 @@
 
 
 def check_fields(message: msgspec.Struct, checks: Mapping[str, Check]) -> None:
-    """Raise ValueError, with the name on the wire, for a field that is given and fails its check."""
+    """Check the fields that are set. Raises ValueError, with the name on the wire, if one is invalid."""
     wire_names = dict(zip(message.__struct_fields__, message.__struct_encode_fields__, strict=True))
     for attribute, check in checks.items():
         value = getattr(message, attribute)
@@ -80,10 +80,10 @@
 
 
 class Message(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A request's body. `CHECKS` names, by attribute, checks that the fields' types do not express."""
+    """The body of a request. `CHECKS` maps attributes to checks that the fields' types do not express."""
 
     CHECKS: ClassVar[dict[str, Check]] = {}
 
     def __post_init__(self) -> None:
-        """Raise ValueError, which msgspec turns into a validation error, for a field that fails its check."""
+        """Check the fields. Raises ValueError, which msgspec converts to a ValidationError, if one fails."""
         check_fields(self, self.CHECKS)
--- a/orchidhatch/control/http_client.py
+++ b/orchidhatch/control/http_client.py
@@ -1,4 +1,4 @@
-"""HTTP requests to the project's own services, for event loops that must not block on them."""
+"""A client for HTTP requests to the project's services, with a blocking and an asynchronous call."""
 
 import asyncio
 import http.client
@@ -16,16 +16,16 @@
 
 
 def format_address(address: Address) -> str:
-    """The address as host:port."""
+    """Return the address as host:port."""
     return f"{address[0]}:{address[1]}"
 
 
 @dataclass(frozen=True, slots=True)
 class HttpResponse:
-    """A response that was received whole.
+    """A response that was received completely.
 
     `value` is the decoded JSON body, the text of a body that is not JSON, or None for an empty body.
-    `store_name` is the identity and term of the store that answered, "" where the service names none.
+    `store_name` is the identity and term of the store that answered, "" if the service names none.
     """
 
     status: int
@@ -34,13 +34,13 @@
 
     @property
     def ok(self) -> bool:
-        """Whether the request was carried out."""
+        """Whether the request succeeded."""
         return self.status == HTTPStatus.OK
 
 
 @dataclass(frozen=True, slots=True)
 class NoResponse:
-    """No response was received: the request may have been carried out or not. It has no status."""
+    """The result if no response was received: the request may have been executed or not."""
 
     reason: str
     ok: ClassVar[bool] = False
@@ -60,7 +60,7 @@
 ) -> HttpResponse:
     """Send a request, with `body` as JSON unless it is None, and wait for the response.
 
-    `timeout_s` bounds each operation on the socket. Raises OSError or http.client.HTTPException where no
+    `timeout_s` limits each operation on the socket. Raises OSError or http.client.HTTPException if no
     response is received.
     """
     connection = http.client.HTTPConnection(*address, timeout=timeout_s)
@@ -75,7 +75,7 @@
 
 
 def decode_body(content: bytes) -> Any:  # noqa: ANN401 - JSON
-    """The JSON value of a body, its text where it is no JSON or too deeply nested, None where it is empty."""
+    """Return a body's JSON value, its text if it is not JSON or nested too deeply, None if it is empty."""
     if not content:
         return None
     try:
@@ -92,7 +92,7 @@
     timeout_s: float = DEFAULT_TIMEOUT_S,
     headers: Mapping[str, str] = NO_HEADERS,
 ) -> CallResult:
-    """As `call_blocking`, in a thread; a NoResponse in place of an error where no response is received."""
+    """Run `call_blocking` in a thread. Return a NoResponse if no response is received."""
     try:
         return await asyncio.to_thread(call_blocking, address, method, path, body, timeout_s, headers)
     except (OSError, http.client.HTTPException) as error:
--- a/orchidhatch/control/http_connection.py
+++ b/orchidhatch/control/http_connection.py
@@ -1,7 +1,7 @@
-"""The transport of the control plane's HTTP servers: one request to a connection, or one watch.
+"""The transport of the control plane's HTTP servers: each connection serves one request or one watch.
 
-HTTP/1.1 is parsed by h11. A request is bounded in size and in time; what is longer, late or malformed is
-answered with an error and the connection closed.
+HTTP/1.1 is parsed by h11. Requests are limited in size and time; one that is too long, too late or malformed
+is answered with an error, and its connection is closed.
 """
 
 import asyncio
@@ -25,45 +25,45 @@
 log = logging.getLogger("orchidhatch")
 
 MAX_HEAD_BYTES = 8192
-REQUEST_TIMEOUT_S = 5.0  # for a whole request to arrive, and for its response to be read
-MAX_UNSENT_BYTES = 256 * 1024  # that a watch may leave unread beyond the list it began with
-MAX_REQUESTS = 2_000  # connections that are no watches
-RETRY_AFTER_RANGE_S = (1, 5)  # spread, so that rejected clients don't return together
+REQUEST_TIMEOUT_S = 5.0  # to receive a complete request, and for the client to read its response
+MAX_UNSENT_BYTES = 256 * 1024  # the most unsent bytes of a watch, beyond its initial list
+MAX_REQUESTS = 2_000  # open connections other than watches
+RETRY_AFTER_RANGE_S = (1, 5)  # randomized, so that rejected clients do not retry at the same time
 
 
 class OpenRequests(Protocol):
-    """What a connection needs of its server's statistics."""
+    """The part of a server's statistics that a connection uses."""
 
     open: set["Connection"]
     rejected: int
 
     def count_response(self, status: int) -> None:
-        """Count a response."""
+        """Count a response by its status."""
 
 
 class ConnectionServer(Protocol):
-    """What a connection needs of the server that accepted it."""
+    """The part of a server that its connections use."""
 
     requests: "OpenRequests"
     random: random.Random
 
     def handle(self, connection: "Connection") -> None:
-        """Answer a whole request, or begin what will answer it. May raise any mapped error."""
+        """Answer a complete request, or start a task that will. May raise any error that has a status."""
 
     def store_name(self) -> str:
-        """The value of STORE_HEADER."""
+        """Return the value of STORE_HEADER."""
 
     def connection_ended(self, connection: "Connection") -> None:
-        """Forget a connection."""
+        """Remove a connection that has ended."""
 
 
 def encode_chunk(data: bytes) -> bytes:
-    """A chunk of a body without a length: the same bytes for all watches, whatever state each is in."""
+    """Return data as an HTTP chunk. Unlike h11's output it has no state, so all watches can share it."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
 class Connection(asyncio.Protocol):
-    """One request, answered and closed; or a watch, until either side ends it."""
+    """A connection that is closed after the response to its one request, or a watch that either side ends."""
 
     def __init__(self, server: ConnectionServer) -> None:
         self.request: h11.Request | None = None
@@ -74,26 +74,26 @@
         self._timer: asyncio.TimerHandle | None = None
         self._is_answered = False
         self._is_watch = False
-        self._initial_bytes_left = 0  # unread bytes of the list that a watch began with
+        self._initial_bytes_left = 0  # unsent bytes of a watch's initial list
 
     @property
     def is_closing(self) -> bool:
-        """Whether the client has gone, or its response is being sent."""
+        """Whether the client has disconnected, or the connection closes once its response is sent."""
         return self.transport.is_closing()
 
     # --- asyncio.Protocol ---
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Start the request's timeout, or reject the connection where there are too many."""
+        """Start the request's timeout, or reject the connection if there are too many."""
         self.transport = transport
         self._timer = asyncio.get_running_loop().call_later(REQUEST_TIMEOUT_S, self._handle_timeout)
         self._server.requests.open.add(self)
         if len(self._server.requests.open) > MAX_REQUESTS:
             self._server.requests.rejected += 1
-            self.fail(UnavailableError("too many calls"))
+            self.fail(UnavailableError("too many open requests"))
 
     def data_received(self, data: bytes) -> None:
-        """Parse what arrived; nothing is read after the request."""
+        """Parse received data; data after the request is ignored."""
         if self._is_answered or self._is_watch:
             return
         try:
@@ -107,14 +107,14 @@
             self.answer(Response(error.error_status_hint, ErrorBody(str(error))))
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Stop the timeout and let the server forget the connection."""
+        """Stop the timeout and remove the connection from the server."""
         self._timer.cancel()
         self._server.connection_ended(self)
 
     # --- requests ---
 
     def answer(self, response: Response) -> None:
-        """Send the whole response and close; nothing where the connection has ended already."""
+        """Send the response and close the connection, unless it was answered or closed before."""
         if self._is_answered or self._is_watch or self.is_closing:
             return
         self._is_answered = True
@@ -134,7 +134,7 @@
         self.transport.close()
 
     def fail(self, error: Exception) -> None:
-        """Answer with the status that the error has."""
+        """Answer with the error's status and text."""
         self.answer(error_response(error))
 
     def _handle_event(self, event: h11.Event) -> None:
@@ -163,17 +163,17 @@
             self.answer(Response(500, ErrorBody("internal error")))
 
     def _handle_timeout(self) -> None:
-        """The request is late, or its response is not read."""
+        """Reject a request that is too late, or abort if the client does not read its response."""
         if self._is_answered:
             self.transport.abort()
             return
-        self.fail(RequestTimeoutError("no whole request arrived in time"))
+        self.fail(RequestTimeoutError("no complete request arrived in time"))
         self._timer = asyncio.get_running_loop().call_later(REQUEST_TIMEOUT_S, self.transport.abort)
 
     # --- watches ---
 
     def begin_watch(self, first_line: bytes) -> None:
-        """Answer with a body that does not end, beginning with this line."""
+        """Start a response without an end, whose body begins with this line."""
         self._timer.cancel()
         self._is_watch = True
         self._initial_bytes_left = len(first_line)
@@ -186,8 +186,10 @@
         self.transport.write(head + encode_chunk(first_line))
 
     def send_chunk(self, chunk: bytes) -> bool:
-        """Send one chunk of a watch. False, and the connection aborted, where too much is unread already:
-        the client resumes by what it has received.
+        """Send one chunk of a watch. Return whether it was sent.
+
+        The connection is aborted instead if too many bytes are unsent; the client resumes after the
+        generation that it received last.
         """
         unsent_bytes = self.transport.get_write_buffer_size()
         self._initial_bytes_left = min(self._initial_bytes_left, unsent_bytes)
--- a/orchidhatch/control/http_response.py
+++ b/orchidhatch/control/http_response.py
@@ -1,4 +1,4 @@
-"""Responses of the control plane's HTTP servers, and the status that each error has."""
+"""Responses of the control plane's HTTP servers, and the HTTP status of each error."""
 
 import json
 from collections.abc import Mapping
@@ -16,12 +16,12 @@
     UnavailableError,
 )
 
-STORE_HEADER = "Orchidhatch-Store"  # names the store that generations belong to: its identity and term
+STORE_HEADER = "Orchidhatch-Store"  # the identity and term of the store that generations belong to
 MAX_TERM_DIGITS = 16
 JSON_CONTENT_TYPE = "application/json"
 METRICS_CONTENT_TYPE = "text/plain; version=0.0.4"
 
-# The class that is nearest to the error's own counts.
+# The first class in the error's method resolution order determines its status.
 STATUS_OF_ERROR: Mapping[type[Exception], HTTPStatus] = {
     InvalidRequestError: HTTPStatus.BAD_REQUEST,
     RequestTimeoutError: HTTPStatus.REQUEST_TIMEOUT,
@@ -29,45 +29,45 @@
     NotFoundError: HTTPStatus.NOT_FOUND,
     ConflictError: HTTPStatus.CONFLICT,
     UnavailableError: HTTPStatus.SERVICE_UNAVAILABLE,
-    ValueError: HTTPStatus.BAD_REQUEST,  # of the standard library, over a URL that makes no sense
+    ValueError: HTTPStatus.BAD_REQUEST,  # raised by the standard library for an invalid URL
 }
 
 
 class ErrorBody(msgspec.Struct, frozen=True):
-    """The body of every response that is no success."""
+    """The body of every error response."""
 
     error: str
 
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """A whole response. `value` is encoded as JSON, bytes are sent as they are."""
+    """A complete response. `value` is encoded as JSON, except for bytes, which are sent unchanged."""
 
     status: int
     value: object
     kind: str = JSON_CONTENT_TYPE
 
     def body(self) -> bytes:
-        """The encoded body."""
+        """Return the encoded body."""
         if isinstance(self.value, bytes):
             return self.value
-        # Not msgspec.json.encode: records of older versions may hold lone surrogates, which it refuses.
+        # Not msgspec.json.encode: it rejects lone surrogates, which records of older versions may contain.
         return json.dumps(msgspec.to_builtins(self.value)).encode() + b"\n"
 
 
 def has_status(error: Exception) -> bool:
-    """Whether the error is the client's to handle, rather than a fault of the program."""
+    """Return whether the error is reported to the client, rather than a fault of the program."""
     return isinstance(error, tuple(STATUS_OF_ERROR))
 
 
 def error_response(error: Exception) -> Response:
-    """The response to a request that failed with one of the errors of `STATUS_OF_ERROR`."""
-    status = next(STATUS_OF_ERROR[kind] for kind in type(error).__mro__ if kind in STATUS_OF_ERROR)
+    """Return the response to a request that failed with an error of `STATUS_OF_ERROR`."""
+    status = next(STATUS_OF_ERROR[class_] for class_ in type(error).__mro__ if class_ in STATUS_OF_ERROR)
     return Response(status, ErrorBody(str(error)))
 
 
 def term_of(store_name: str) -> int:
-    """The term in a store's name; 0 for a service that names none."""
+    """Return the term in a store's name, 0 if there is none."""
     term = store_name.rpartition(" ")[2]
     is_number = term.isascii() and term.isdigit() and len(term) <= MAX_TERM_DIGITS
     return int(term) if is_number else 0
--- a/orchidhatch/control/http_server.py
+++ b/orchidhatch/control/http_server.py
@@ -1,6 +1,6 @@
-"""A server of an endpoint list: reads and watches of the list, health and metrics.
+"""The HTTP server of an endpoint list, with reads and watches of the list, health and metrics.
 
-The registry and the agent are such servers; each adds routes of its own.
+The registry and the agent are such servers; each adds its own routes.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 
 
 class EndpointListServer:
-    """The HTTP server of one store's list. Subclasses override the methods of the second half."""
+    """The HTTP server of one store's list. Subclasses override the methods in the last section."""
 
     def __init__(self, store: Store, seed: int | None = None) -> None:
         self.store = store
@@ -44,15 +44,15 @@
         self.router.add("GET", "/metrics", self._get_metrics)
 
     async def start(self, host: str, port: int) -> None:
-        """Listen; port 0 takes any that is free. Raises OSError."""
+        """Listen on an address; port 0 selects a free port. Raises OSError if that fails."""
         loop = asyncio.get_running_loop()
         self.tasks.start_loops([self.broadcaster.send_heartbeats()])
         self.listener = await loop.create_server(lambda: Connection(self), host, port, backlog=LISTEN_BACKLOG)
-        if not self.listener.sockets:  # the event loop passes over a socket() that fails
-            raise OSError(f"cannot listen at {host}:{port}: no socket could be opened")
+        if not self.listener.sockets:  # the event loop ignores a socket() call that fails
+            raise OSError(f"cannot listen on {host}:{port}: no socket could be opened")
 
     async def close(self) -> None:
-        """Cancel all tasks, wait for the store's file to be left alone, and close everything."""
+        """Cancel all tasks, wait until the store's file is no longer in use, and close everything."""
         if self.listener:
             self.listener.close()
         cancelled = self.tasks.cancel()
@@ -62,12 +62,12 @@
         self.store.close()
 
     def handle(self, connection: Connection) -> None:
-        """Answer a whole request, make its connection a watch, or begin what answers it later."""
+        """Answer a complete request, begin a watch, or start a task that answers later."""
         if not self.router.dispatch(parse_request(connection)):
             raise NotFoundError("no such call")
 
     def connection_ended(self, connection: Connection) -> None:
-        """Forget a connection of either kind."""
+        """Remove a request's connection or a watch that has ended."""
         self.requests.open.discard(connection)
         self.broadcaster.remove(connection)
 
@@ -77,23 +77,23 @@
     # --- what subclasses override ---
 
     def store_name(self) -> str:
-        """The store whose generations these are: its identity and term."""
+        """Return the identity and term of the store, to which generations belong."""
         return f"{self.store.identity} {self.store.term}"
 
     def health(self) -> Response:
-        """Whether the service can do its work."""
+        """Return the response of the health check."""
         return Response(200, HealthResponse("serves"))
 
     def metrics_text(self) -> str:
-        """The metrics in Prometheus's text form, made by `format_metrics`."""
+        """Return the metrics in Prometheus's text format, as `format_metrics` encodes them."""
         raise NotImplementedError
 
     def when_ready(self, begin: Callable[[], None]) -> None:
-        """Begin a watch; later, where the list may be older than what another process has shown."""
+        """Call `begin`, which begins a watch, at once or after the list is known to be recent enough."""
         begin()
 
     def format_metrics(self, prefix: str, values: dict[str, float]) -> str:
-        """Metrics in Prometheus's text form, with those that all list servers have."""
+        """Return metrics in Prometheus's text format, together with those of all list servers."""
         values = {
             "generation": self.store.generation,
             "term": self.store.term,
--- a/orchidhatch/control/json_body.py
+++ b/orchidhatch/control/json_body.py
@@ -1,7 +1,7 @@
-"""The JSON bodies of requests: decoded once, and converted to a typed message.
+"""Decodes the JSON bodies of requests and converts them to typed messages.
 
-Duplicate fields and numbers that are none (NaN, Infinity) are errors, which msgspec's own decoder would let
-pass; fields and their bounds are checked by msgspec.
+Duplicate fields, NaN and Infinity are errors here, although msgspec's own decoder accepts them; msgspec
+checks the fields and their bounds.
 """
 
 import json
@@ -12,19 +12,22 @@
 
 from orchidhatch.control.errors import InvalidRequestError
 
-MAX_BODY_BYTES = 8192  # an endpoint takes some 300, a policy document up to 5,000
+MAX_BODY_BYTES = 8192  # an endpoint needs about 300, a policy document up to 5,000
 MAX_ERROR_CHARACTERS = 250
 
 Message = TypeVar("Message")
 
 
 def reject_constant(name: str) -> NoReturn:
-    """For a JSON parser: raise InvalidRequestError for NaN and Infinity."""
-    raise InvalidRequestError(f"{name} is no number")
+    """Raise InvalidRequestError for NaN and Infinity; the `parse_constant` of json.loads."""
+    raise InvalidRequestError(f"{name} is not a valid number")
 
 
 def reject_duplicates(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    """For a JSON parser: the object, or InvalidRequestError where a field is given twice."""
+    """Return the object; the `object_pairs_hook` of json.loads.
+
+    Raises InvalidRequestError if a field occurs twice.
+    """
     values = dict(pairs)
     if len(values) != len(pairs):
         raise InvalidRequestError("a field is given twice")
@@ -32,12 +35,15 @@
 
 
 def decode_object(body: bytes) -> dict[str, Any]:
-    """A JSON object of bounded size. Raises InvalidRequestError."""
+    """Decode a JSON object of limited size. Raises InvalidRequestError if the body is too long or invalid."""
     if len(body) > MAX_BODY_BYTES:
         raise InvalidRequestError(f"the body is longer than {MAX_BODY_BYTES} bytes")
     try:
         values = json.loads(body, parse_constant=reject_constant, object_pairs_hook=reject_duplicates)
-    except (ValueError, RecursionError) as error:  # not UTF-8 is a ValueError too, and so is a huge integer
+    except (
+        ValueError,
+        RecursionError,
+    ) as error:  # ValueError includes invalid UTF-8 and integers that are too long
         raise InvalidRequestError(f"the body is not JSON: {' '.join(str(error).split()):.120}") from error
     if not isinstance(values, dict):
         raise InvalidRequestError("the body is not a JSON object")
@@ -45,7 +51,7 @@
 
 
 def convert_message(values: Mapping[str, Any], message_type: type[Message]) -> Message:
-    """The message with these fields. Raises InvalidRequestError, which names the field."""
+    """Return the message with these fields. Raises InvalidRequestError, with its name, if one is invalid."""
     try:
         return msgspec.convert(values, message_type, strict=True)
     except msgspec.ValidationError as error:
@@ -53,11 +59,11 @@
 
 
 def _one_line(text: str) -> str:
-    """A text that may hold names from a request, as one plain line of bounded length."""
+    """Return a text, which may contain names from a request, as one printable line of limited length."""
     line = " ".join(text.split())[:MAX_ERROR_CHARACTERS]
     return "".join(character if character.isprintable() else "?" for character in line)
 
 
 def decode_message(body: bytes, message_type: type[Message]) -> Message:
-    """The message in a body. Raises InvalidRequestError."""
+    """Return the message in a body. Raises InvalidRequestError if the body is invalid."""
     return convert_message(decode_object(body), message_type)
--- a/orchidhatch/control/lease_table.py
+++ b/orchidhatch/control/lease_table.py
@@ -1,7 +1,7 @@
-"""Leases: whoever does not renew in time is removed, but never all at once.
+"""Leases: holders that do not renew in time are removed, except in a mass expiry.
 
-Times are monotonic seconds that the caller gives, so that a step of the wall clock changes nothing. Leases
-begin anew when the process does, as nobody could renew while it was down.
+Times are seconds of a monotonic clock, given by the caller, so that a step of the wall clock has no effect.
+Leases begin again when the process starts, because no holder could renew while it was down.
 """
 
 import math
@@ -11,26 +11,26 @@
 from typing import Protocol
 
 CHECK_INTERVAL_S = 1.0  # how often leases are checked
-MAX_CHECK_GAP_S = 2 * CHECK_INTERVAL_S  # a longer gap between two checks is a pause of this process
+MAX_CHECK_GAP_S = 2 * CHECK_INTERVAL_S  # a longer gap between two checks means that this process was paused
 
 
 class LeaseHolder(Protocol):
-    """What has a lease: an endpoint or a session. A `lease_ms` of 0 is no lease."""
+    """The holder of a lease: an endpoint or a session. A `lease_ms` of 0 means no lease."""
 
     id: str
     lease_ms: int
 
     @property
     def incarnation(self) -> int | str:
-        """What a renewal must name."""
+        """The incarnation that a renewal must name."""
 
 
 @dataclass(frozen=True, slots=True)
 class MassExpiryLimit:
-    """How many leases may run out within the longest one.
+    """The limit on how many leases may expire within the longest lease.
 
-    More than `share` of all, beyond a `few`, is not many single failures: rather the network, or this
-    service, failed. Their removal is withheld, for `withheld_s` at most.
+    If more than `share` of all leases and more than `few` expire, the cause is probably a failure of the
+    network or this service, not of the holders. Their removal is then withheld, for `withheld_s` at most.
     """
 
     share: float = 0.2
@@ -38,7 +38,7 @@
     withheld_s: float = math.inf
 
     def is_exceeded(self, expiring: int, total: int) -> bool:
-        """Whether this many of a total are too many."""
+        """Return whether this number of expiring leases exceeds the limit."""
         return expiring > max(self.few, self.share * total)
 
 
@@ -47,14 +47,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """A lease that runs out at `due_s`."""
+    """A lease that expires at `due_s`."""
 
     due_s: float
     holder: LeaseHolder
 
 
 class LeaseTable:
-    """All leases, by the holder's id. `withheld` counts those whose removal the last check withheld."""
+    """All leases by the holder's id. `withheld` is the number of removals that the last check withheld."""
 
     def __init__(
         self, holders: Iterable[LeaseHolder], now_s: float, limit: MassExpiryLimit = DEFAULT_LIMIT
@@ -63,19 +63,19 @@
         self.withheld = 0
         self.last_check_s = now_s
         self._limit = limit
-        self._expiries_s: deque[float] = deque()  # when leases were let run out
+        self._expiries_s: deque[float] = deque()  # when leases expired whose holders were to be removed
         for holder in holders:
             self.begin(holder, now_s)
 
     def begin(self, holder: LeaseHolder, now_s: float) -> None:
-        """Begin a lease, or let it go on after a change to its holder."""
+        """Begin the lease of a holder, or extend it after a change to the holder."""
         if holder.lease_ms:
             self.leases[holder.id] = Lease(now_s + holder.lease_ms / 1000, holder)
         else:
             self.forget(holder.id)
 
     def renew(self, id_: str, incarnation: int | str, now_s: float) -> bool:
-        """Begin a lease anew, if it is this incarnation that has it; whether it is."""
+        """Renew a lease if this incarnation holds it. Return whether it was renewed."""
         lease = self.leases.get(id_)
         if lease is None or lease.holder.incarnation != incarnation:
             return False
@@ -83,19 +83,20 @@
         return True
 
     def restore_overdue(self, holder: LeaseHolder, now_s: float) -> None:
-        """Put back one whose removal failed: it is overdue still, and did not run out yet."""
+        """Restore the lease of a holder whose removal failed, as overdue but not yet expired."""
         if self._expiries_s:
             self._expiries_s.pop()
         self.leases[holder.id] = Lease(now_s, holder)
 
     def forget(self, id_: str) -> None:
-        """Drop the lease of a holder that is removed or has none any more."""
+        """Remove the lease of a holder that was removed or no longer has one."""
         self.leases.pop(id_, None)
 
     def take_overdue(self, now_s: float) -> list[LeaseHolder]:
-        """Those that are to be removed now, counted as run out.
+        """Return the holders to be removed now, and count their leases as expired.
 
-        Called each CHECK_INTERVAL_S; a longer gap is a pause of this process, and counts for nobody.
+        Called every CHECK_INTERVAL_S. A gap over MAX_CHECK_GAP_S is a pause of this process, and the excess
+        extends all leases.
         """
         self._extend_by_pause(now_s)
         self._forget_old_expiries(now_s)
@@ -117,7 +118,7 @@
             }
 
     def _forget_old_expiries(self, now_s: float) -> None:
-        """Only those within the longest lease count for the limit."""
+        """Drop the expiries that are older than the longest lease, which do not count for the limit."""
         longest_s = max((lease.holder.lease_ms for lease in self.leases.values()), default=0) / 1000
         while self._expiries_s and self._expiries_s[0] < now_s - longest_s:
             self._expiries_s.popleft()
--- a/orchidhatch/control/list_handlers.py
+++ b/orchidhatch/control/list_handlers.py
@@ -1,4 +1,4 @@
-"""The requests that read or watch an endpoint list, as the protocol's page gives them."""
+"""Handlers of the requests that read or watch an endpoint list."""
 
 from collections.abc import Callable
 from urllib.parse import parse_qs
@@ -12,14 +12,14 @@
 from orchidhatch.control.watch_broadcaster import WHOLE_LIST, WatchBroadcaster
 
 MAX_WATCHES = 10_000
-FLAG_SET = "1"  # the value of a query's field that is a flag
+FLAG_SET = "1"  # the value of a query parameter that is a flag
 
 
 class ListHandlers:
     """The handlers of one endpoint list.
 
-    `when_ready` is called with what begins a watch, and calls it once the list may be shown. `store_name`
-    gives the name of the store whose generations the watches are sent.
+    `when_ready` is called with a function that begins a watch, and calls it once the list may be served.
+    `store_name` returns the name of the store whose generations the watches receive.
     """
 
     def __init__(
@@ -52,9 +52,9 @@
         return None
 
     def _check_accepts_watch(self) -> None:
-        """Raise UnavailableError where no more watches are accepted."""
+        """Raise UnavailableError if no more watches are accepted."""
         if self._broadcaster.is_suspended:
-            raise UnavailableError("it takes no watches for now")
+            raise UnavailableError("watches are suspended; retry later")
         if len(self._broadcaster.watches) >= MAX_WATCHES:
             self._requests.rejected += 1
             raise UnavailableError("too many watches")
@@ -64,6 +64,6 @@
             self._broadcaster.add(connection, after, include_leases)
 
     def _is_other_store(self, connection: Connection) -> bool:
-        """Whether a watch resumes by the generation of another store, which says nothing here."""
+        """Return whether a watch resumes after a generation of another store, which has no meaning here."""
         store_name = dict(connection.request.headers).get(STORE_HEADER.lower().encode())
         return store_name is not None and store_name.decode(errors="replace") != self._store_name()
--- a/orchidhatch/control/operator_client.py
+++ b/orchidhatch/control/operator_client.py
@@ -1,4 +1,4 @@
-"""Requests of the command-line tools, which wait for each response and print an error as one line."""
+"""Blocking requests of the command-line tools, whose errors are one line for the operator."""
 
 import http.client
 import json
@@ -10,19 +10,19 @@
 
 from orchidhatch.control.http_client import Address, call_blocking
 
-RESPONSE_TIMEOUT_S = 10.0  # the service ends a request after 5 s
-WATCH_TIMEOUT_S = 6.0  # without a line; a watch has an empty one every 2 s
+RESPONSE_TIMEOUT_S = 10.0  # the service closes a request after 5 s
+WATCH_TIMEOUT_S = 6.0  # without a line; a watch gets an empty line every 2 s
 WATCH_PATH = "/catalog/members?watch=1&after="
 
 ResponseType = TypeVar("ResponseType")
 
 
 class CallError(Exception):
-    """A request that was refused or got no usable response; the text is one line for the operator."""
+    """A request that was refused or got no valid response; the text is one line for the operator."""
 
 
 def parse_address(text: str) -> Address:
-    """Host and port of host:port. Raises CallError."""
+    """Return the host and port of host:port. Raises CallError if it is malformed."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdecimal() or not 0 < int(port) < 65536:
         raise CallError(f"'{text}' is not host:port")
@@ -30,18 +30,18 @@
 
 
 def describe_refusal(status: int, value: object) -> str:
-    """The status of a refusal and the service's reason, if it gives one."""
+    """Return the status of a refusal with the service's reason, if it gives one."""
     if isinstance(value, dict) and "error" in value:
         return f"no ({status}): {value['error']}"
     return f"no ({status})"
 
 
 def call(at: str, method: str, path: str, body: dict[str, Any] | None = None) -> Any:  # noqa: ANN401 - JSON
-    """The JSON value of a request that was carried out by the service at host:port. Raises CallError."""
+    """Return the JSON response of the service at host:port. Raises CallError if the request fails."""
     address = parse_address(at)
     try:
         response = call_blocking(address, method, path, body, RESPONSE_TIMEOUT_S)
-    except (OSError, http.client.HTTPException, ValueError) as error:  # a ValueError: not a valid path
+    except (OSError, http.client.HTTPException, ValueError) as error:  # ValueError: invalid path
         raise CallError(f"no answer from {at}: {error or type(error).__name__}") from error
     if not response.ok:
         raise CallError(describe_refusal(response.status, response.value))
@@ -57,7 +57,7 @@
     path: str,
     body: dict[str, Any] | None = None,
 ) -> ResponseType:
-    """As `call`, with the response as a value of this type; fields that it does not have are ignored."""
+    """Call the service like `call` and convert the response to this type, ignoring unknown fields."""
     value = call(at, method, path, body)
     try:
         return msgspec.convert(value, response_type)
@@ -67,10 +67,10 @@
 
 @contextmanager
 def open_watch(at: str, after: int, timeout_s: float) -> Iterator[http.client.HTTPResponse]:
-    """A watch's response, whose lines are to be read, from a service at host:port.
+    """Open a watch at the service at host:port and yield its response, to be read line by line.
 
-    Raises CallError where the watch is refused, OSError or http.client.HTTPException where the connection
-    fails or nothing is received for `timeout_s`.
+    Raises CallError if the watch is refused, and OSError or http.client.HTTPException if the connection fails
+    or nothing is received for `timeout_s`.
     """
     connection = http.client.HTTPConnection(*parse_address(at), timeout=timeout_s)
     try:
@@ -84,7 +84,7 @@
 
 
 def decode_error(content: bytes) -> object:
-    """The JSON value of a refusal's body, None where it has none."""
+    """Return the JSON value of an error response's body, None if it is not JSON."""
     try:
         return json.loads(content)
     except ValueError:
@@ -92,12 +92,12 @@
 
 
 def watch_events(at: str, after: int) -> Iterator[dict[str, Any]]:
-    """The events of a watch as JSON objects. Raises CallError, also where the service ends the watch."""
+    """Yield the events of a watch as JSON objects. Raises CallError when the watch fails or ends."""
     try:
         with open_watch(at, after, WATCH_TIMEOUT_S) as response:
             while line := response.readline():
                 if line.strip():
                     yield json.loads(line)
     except (OSError, http.client.HTTPException, ValueError) as error:
-        raise CallError(f"the watch on {at} broke off: {error or type(error).__name__}") from error
+        raise CallError(f"the watch on {at} failed: {error or type(error).__name__}") from error
     raise CallError(f"{at} ended the watch")
--- a/orchidhatch/control/registry_client.py
+++ b/orchidhatch/control/registry_client.py
@@ -1,4 +1,4 @@
-"""A client of several registries, of which one accepts writes."""
+"""A client of several registries, one of which accepts writes."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -18,10 +18,10 @@
     current_index: int = 0
 
     async def call(self, method: str, path: str, body: object = None) -> CallResult:
-        """The response of the registry that accepts writes.
+        """Return the response of the registry that accepts writes.
 
-        Each registry is asked once. Where none accepts writes: the last response if it says that the service
-        is unavailable, else a NoResponse.
+        Each registry is tried once. If none accepts writes, return the last response if its status is 503,
+        else a NoResponse.
         """
         result: CallResult = NoResponse("no registry is configured")
         for _ in self.registries:
@@ -36,7 +36,7 @@
 
 
 def accepts_writes(response: HttpResponse) -> bool:
-    """Whether the registry that sent this response accepts writes, as far as the response tells."""
+    """Return whether the registry accepts writes, as far as its response shows."""
     if response.status == HTTPStatus.SERVICE_UNAVAILABLE:
         return False
     text = str(response.value)
--- a/orchidhatch/control/request_messages.py
+++ b/orchidhatch/control/request_messages.py
@@ -1,6 +1,6 @@
-"""The requests to the control plane as typed messages; msgspec checks types and bounds of their fields.
+"""The requests to the control plane as typed messages, whose fields msgspec checks.
 
-The attributes have the terms of the code, the fields on the wire their older names.
+Attributes use the terms of the code; `name` gives the older name of a field on the wire.
 """
 
 from typing import ClassVar
@@ -28,7 +28,7 @@
 
 
 class RegistrationMessage(Message, frozen=True, kw_only=True):
-    """An endpoint that registers itself."""
+    """The registration of an endpoint."""
 
     CHECKS: ClassVar[dict[str, Check]] = ENDPOINT_CHECKS
     instance_id: Name = field(name="instanceId")
@@ -44,7 +44,7 @@
 
 
 class ReplicatedMessage(Message, frozen=True, kw_only=True, forbid_unknown_fields=False):
-    """An endpoint of a list that another service sends; there may be fields that are unknown here."""
+    """An endpoint of a list that another service sends; unknown fields are ignored."""
 
     CHECKS: ClassVar[dict[str, Check]] = ENDPOINT_CHECKS
     instance_id: Name = field(name="instanceId")
@@ -58,7 +58,7 @@
 
 
 class ReplicatedWithLeaseMessage(ReplicatedMessage, frozen=True, kw_only=True, forbid_unknown_fields=False):
-    """The same in the form that replicas ask for."""
+    """An endpoint in the form that replicas request, with incarnation and lease."""
 
     incarnation: NonNegative = field(name="life", default=0)
     lease_ms: OptionalLeaseMs = field(name="leaseMs", default=0)
@@ -78,24 +78,24 @@
 
 
 class OptionalFenceMessage(Message, frozen=True, kw_only=True):
-    """A request that may be made under a claim; one of claim and epoch alone makes no sense."""
+    """A request that may be made under a claim; it has both claim and epoch, or neither."""
 
     claim: Name | UnsetType = UNSET
     epoch: NonNegative | UnsetType = UNSET
 
     def __post_init__(self) -> None:
-        """Raise ValueError where one of both is lacking."""
+        """Raise ValueError if only one of claim and epoch is set."""
         super().__post_init__()
         if (self.claim is UNSET) != (self.epoch is UNSET):
-            raise ValueError("claim and epoch go together")
+            raise ValueError("claim and epoch must be given together")
 
     def fence(self) -> Fence | None:
-        """The claim and epoch, if they are given."""
+        """Return the claim and epoch, None if they are not set."""
         return None if self.claim is UNSET else Fence(self.claim, self.epoch)
 
 
 class ChangeMessage(OptionalFenceMessage, frozen=True, kw_only=True):
-    """Another lifecycle for an endpoint."""
+    """A new lifecycle of an endpoint."""
 
     lifecycle: Lifecycle
     if_version: NonNegative | UnsetType = field(name="ifVersion", default=UNSET)
@@ -115,7 +115,7 @@
 
 
 class SessionMessage(Message, frozen=True, kw_only=True):
-    """A session that begins."""
+    """The start of a session."""
 
     holder: Name
     incarnation: Name = field(name="life")
@@ -123,13 +123,13 @@
 
 
 class IncarnationMessage(Message, frozen=True, kw_only=True):
-    """The incarnation of a session that is renewed or ended."""
+    """The incarnation of a session that is to be renewed or ended."""
 
     incarnation: Name = field(name="life")
 
 
 class TakeClaimMessage(Message, frozen=True, kw_only=True):
-    """A holder that takes a claim."""
+    """The acquisition of a claim by a holder."""
 
     CHECKS: ClassVar[dict[str, Check]] = {"purpose": Check.PRINTABLE}
     holder: Name
@@ -138,7 +138,7 @@
 
 
 class ReleaseClaimMessage(Message, frozen=True, kw_only=True):
-    """A holder that releases a claim."""
+    """The release of a claim by its holder."""
 
     CHECKS: ClassVar[dict[str, Check]] = {"reason": Check.PRINTABLE}
     holder: Name
@@ -149,13 +149,13 @@
 
 
 class SuspendClaimMessage(Message, frozen=True, kw_only=True):
-    """Whether a claim is suspended."""
+    """Whether a claim is to be suspended or resumed."""
 
     suspended: bool = field(name="on")
 
 
 class RecordMessage(OptionalFenceMessage, frozen=True, kw_only=True):
-    """The text of a record."""
+    """The new text of a record."""
 
     CHECKS: ClassVar[dict[str, Check]] = {"text": Check.RECORD}
     text: str
@@ -163,7 +163,7 @@
 
 
 class GatewayMessage(Message, frozen=True, kw_only=True):
-    """A gateway that an agent registers."""
+    """The registration of a gateway by its agent."""
 
     CHECKS: ClassVar[dict[str, Check]] = {"zone": Check.PRINTABLE}
     name: Name
@@ -172,16 +172,16 @@
 
 
 class PolicyLeaseRenewalMessage(PolicyLeaseRenewal, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A renewal as a registry reads it. Agents send what they have, and do not check it."""
+    """A policy lease renewal as a registry reads it, with checks that agents do not make."""
 
     CHECKS: ClassVar[dict[str, Check]] = {"document_error": Check.PRINTABLE, "document_text": Check.RECORD}
 
     def __post_init__(self) -> None:
-        """Raise ValueError for a field that fails its check."""
+        """Check the fields. Raises ValueError if one is invalid."""
         check_fields(self, self.CHECKS)
 
 
 class PromotionMessage(Message, frozen=True, kw_only=True):
-    """Whether a promotion is to be done though the upstream still answers."""
+    """A promotion; `force` promotes the replica even if its upstream still answers."""
 
     force: bool = False
--- a/orchidhatch/control/request_statistics.py
+++ b/orchidhatch/control/request_statistics.py
@@ -1,14 +1,14 @@
-"""The requests that a server of the control plane has open, and how it answered the others."""
+"""The open requests of a server of the control plane, and counts of its responses."""
 
 from orchidhatch.control.http_connection import Connection
 
 
 class RequestStatistics:
-    """Counted since the server's start. `open` are the connections that are no watches."""
+    """Counts since the server's start. `open` has the connections other than watches."""
 
     def __init__(self) -> None:
         self.open: set[Connection] = set()
-        self.rejected = 0  # over a limit
+        self.rejected = 0  # because a limit was exceeded
         self.count_by_status: dict[int, int] = {}
 
     def count_response(self, status: int) -> None:
--- a/orchidhatch/control/responses.py
+++ b/orchidhatch/control/responses.py
@@ -1,4 +1,4 @@
-"""Responses of the control plane as typed messages, in the form that the protocol's page gives them."""
+"""Responses of the control plane as typed messages; `name` gives a field's name on the wire."""
 
 from collections.abc import Iterable, Sequence
 
@@ -9,13 +9,13 @@
 
 
 class HealthResponse(msgspec.Struct, frozen=True):
-    """The health of a service that serves by itself."""
+    """The health of a service that is not a replica."""
 
     health: str
 
 
 class ReplicaHealthResponse(msgspec.Struct, frozen=True, rename="camel"):
-    """The health of a replica: how old its list is, and whose it is."""
+    """The health of a replica, with the age of its list and its upstream."""
 
     health: str
     connected: bool
@@ -24,7 +24,7 @@
 
 
 class ListedEndpoint(msgspec.Struct, frozen=True, rename="camel"):
-    """An endpoint as the protocol's page has it."""
+    """An endpoint as the list shows it to gateways."""
 
     instance_id: str
     host_port: str
@@ -37,7 +37,7 @@
 
 
 class EndpointResponse(ListedEndpoint, frozen=True, rename="camel"):
-    """The same for writers and replicas, with the version and incarnation to name in the next write."""
+    """An endpoint for writers and replicas, with the version and incarnation that the next write names."""
 
     version: int
     incarnation: int = msgspec.field(name="life")
@@ -82,7 +82,7 @@
 
 
 class EndpointRenewalResponse(msgspec.Struct, frozen=True, rename="camel"):
-    """The incarnation whose lease goes on."""
+    """The incarnation whose lease was renewed."""
 
     instance_id: str
     incarnation: int = msgspec.field(name="life")
@@ -102,7 +102,7 @@
 
 
 class PromotionResponse(msgspec.Struct, frozen=True, rename="camel"):
-    """What a promoted registry begins with, and how far it was behind its upstream."""
+    """The initial state of a promoted registry, and how far it was behind its upstream."""
 
     term: int
     generation: int
@@ -112,7 +112,7 @@
 
 
 def listed_endpoint(endpoint: Endpoint) -> ListedEndpoint:
-    """An endpoint as the protocol's page has it."""
+    """Return an endpoint as the list shows it to gateways."""
     return ListedEndpoint(
         endpoint.id,
         endpoint.address,
@@ -126,7 +126,7 @@
 
 
 def endpoint_response(endpoint: Endpoint) -> EndpointResponse:
-    """An endpoint with its version, incarnation and lease."""
+    """Return an endpoint with its version, incarnation and lease."""
     return EndpointResponse(
         endpoint.id,
         endpoint.address,
@@ -143,14 +143,14 @@
 
 
 def session_response(session: Session) -> SessionResponse:
-    """A session."""
+    """Return the response for a session."""
     return SessionResponse(session.id, session.incarnation, session.lease_ms)
 
 
 def outcome_value(
     outcome: Endpoint | OwnedObject,
 ) -> EndpointResponse | SessionResponse | Claim | Record | Gateway:
-    """The value of the response to a write that was carried out."""
+    """Return the value of the response to a successful write."""
     if isinstance(outcome, Endpoint):
         return endpoint_response(outcome)
     if isinstance(outcome, Session):
@@ -161,7 +161,7 @@
 def encode_watch_event(
     generation: int, is_whole: bool, endpoints: Iterable[Endpoint], include_leases: bool = False
 ) -> bytes:
-    """The whole list or changes to it, on a line; `include_leases` is the form that replicas ask for."""
-    form = endpoint_response if include_leases else listed_endpoint
-    event = WatchEvent(generation, is_whole, [form(endpoint) for endpoint in endpoints])
+    """Return the whole list or its changes as one line; replicas request the form with leases."""
+    convert_endpoint = endpoint_response if include_leases else listed_endpoint
+    event = WatchEvent(generation, is_whole, [convert_endpoint(endpoint) for endpoint in endpoints])
     return msgspec.json.encode(event) + b"\n"
--- a/orchidhatch/control/router.py
+++ b/orchidhatch/control/router.py
@@ -1,4 +1,4 @@
-"""A table of routes: method and path pattern to the handler of such a request."""
+"""A routing table that maps a method and a path pattern to a handler."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -7,13 +7,13 @@
 from orchidhatch.control.http_connection import Connection
 from orchidhatch.control.http_response import Response
 
-PARAMETER = "{}"  # the segment of a pattern that stands for any segment of a path
-REST = "{*}"  # at a pattern's end: any number of further segments, also none
+PARAMETER = "{}"  # a segment of a pattern that matches any one segment
+REST = "{*}"  # at the end of a pattern: matches zero or more segments
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A whole request. `path` is split at the slashes and unquoted."""
+    """A complete request. `path` is split at the slashes and unquoted."""
 
     method: str
     path: tuple[str, ...]
@@ -22,15 +22,15 @@
     connection: Connection
 
 
-# A segment, or for REST all further segments.
+# One segment, or for REST the tuple of all remaining segments.
 PathParameter = str | tuple[str, ...]
-# Called with the request and the path's parameters. The response is sent at once; a handler that returns
-# None has seen to it that the connection is answered later.
+# Called with the request and the path's parameters. A returned response is sent at once; a handler that
+# returns None has arranged for the connection to be answered later.
 Handler = Callable[..., Response | None]
 
 
 def match_segments(pattern: tuple[str, ...], path: tuple[str, ...]) -> list[PathParameter] | None:
-    """The segments of a path that stand at the pattern's parameters; None where it does not fit."""
+    """Return the path's segments at the pattern's parameters, None if the path does not match."""
     if len(path) != len(pattern):
         return None
     pairs = list(zip(pattern, path, strict=True))
@@ -46,7 +46,7 @@
     handler: Handler
 
     def match(self, method: str, path: tuple[str, ...]) -> list[PathParameter] | None:
-        """The parameters of a path that fits, else None."""
+        """Return the parameters of a matching path, else None."""
         if method != self.method:
             return None
         if self.pattern[-1] == REST:
@@ -57,17 +57,17 @@
 
 
 class Router:
-    """Routes in the order in which they were added; the first that fits is taken."""
+    """Routes in the order in which they were added; the first match is used."""
 
     def __init__(self) -> None:
         self._routes: list[_Route] = []
 
     def add(self, method: str, pattern: str, handler: Handler) -> None:
-        """Add a route, as `add("POST", "/claims/{}/take", handler)`, or `"/door/{*}"` for all paths below."""
+        """Add a route, such as `add("POST", "/claims/{}/take", handler)`; `"/door/{*}"` has all subpaths."""
         self._routes.append(_Route(method, tuple(pattern.split("/")[1:]), handler))
 
     def dispatch(self, request: Request) -> bool:
-        """Have a request handled; False where no route fits. Raises what the handler raises."""
+        """Handle a request. Return whether a route matched. Errors of the handler propagate."""
         for route in self._routes:
             parameters = route.match(request.method, request.path)
             if parameters is not None:
@@ -79,7 +79,7 @@
 
 
 def parse_request(connection: Connection) -> Request:
-    """The request that a connection received. Raises ValueError for a target that is no URL."""
+    """Return the request that a connection received. Raises ValueError if its target is not a valid URL."""
     target = urlsplit(connection.request.target.decode(errors="replace"))
     return Request(
         method=connection.request.method.decode(),
--- a/orchidhatch/control/schemas.py
+++ b/orchidhatch/control/schemas.py
@@ -1,7 +1,7 @@
-"""Requests to the control plane, as typed messages, and what each of them asks for.
+"""Converts the bodies of requests to the control plane into the values and writes that they request.
 
-The fields' names are those of the wire. Every `read_` function raises InvalidRequestError for a body that is
-not such a message: a field that is unknown, given twice, lacking, of another type or out of bounds.
+Every `read_` function raises InvalidRequestError, with field names of the wire, if a field of the body is
+unknown, duplicate, missing, of the wrong type or out of bounds.
 """
 
 from typing import Any
@@ -54,14 +54,14 @@
 )
 
 MAX_GENERATION_DIGITS = 16
-NO_BODY = b"{}"  # in place of a body that is empty, where all fields are optional
+NO_BODY = b"{}"  # replaces an empty body if all fields are optional
 
 
 # --- endpoints ---
 
 
 def read_register_endpoint(body: bytes) -> RegisterEndpoint:
-    """An endpoint that is listed, or listed anew."""
+    """Read the registration of an endpoint."""
     message = decode_message(body, RegistrationMessage)
     _check_listed(message.lifecycle)
     endpoint = Endpoint(
@@ -79,11 +79,13 @@
 
 
 def read_replicated_endpoint(value: object, include_leases: bool = False) -> Endpoint:
-    """An endpoint of a list that another service sends, with incarnation and lease if it sends them and they
-    are asked for. A lifecycle of DELETED is a removal.
+    """Read an endpoint of a list that another service sends; a lifecycle of DELETED means a removal.
+
+    Its incarnation and lease are read only if `include_leases` is set and the service sends them, else both
+    are 0.
     """
     if not isinstance(value, dict):
-        raise InvalidRequestError("an entry is not a JSON object")
+        raise InvalidRequestError("an endpoint of the list is not a JSON object")
     message = convert_message(value, ReplicatedWithLeaseMessage if include_leases else ReplicatedMessage)
     return Endpoint(
         message.instance_id,
@@ -100,7 +102,7 @@
 
 
 def read_change_lifecycle(id_: str, body: bytes) -> ChangeLifecycle:
-    """Another lifecycle for an endpoint."""
+    """Read a new lifecycle of an endpoint."""
     message = decode_message(body, ChangeMessage)
     _check_listed(message.lifecycle)
     id_ = name("instanceId", id_)
@@ -108,7 +110,7 @@
 
 
 def read_remove_endpoint(id_: str, body: bytes) -> RemoveEndpoint:
-    """The removal of an endpoint; the body may be empty."""
+    """Read the removal of an endpoint; the body may be empty."""
     message = decode_message(body or NO_BODY, RemovalMessage)
     return RemoveEndpoint(
         name("instanceId", id_),
@@ -119,14 +121,14 @@
 
 
 def read_endpoint_incarnation(body: bytes) -> int:
-    """The incarnation of an endpoint whose lease is renewed."""
+    """Read the incarnation of an endpoint whose lease is to be renewed."""
     return decode_message(body, EndpointRenewalMessage).incarnation
 
 
 def read_after(value: str) -> int:
-    """The generation that a watch resumes after; 0 for one that knows none."""
+    """Read the generation after which a watch resumes; 0 means none."""
     if not (value.isascii() and value.isdigit()) or len(value) > MAX_GENERATION_DIGITS:
-        raise InvalidRequestError("after: a generation is needed")
+        raise InvalidRequestError("after: a generation number is needed")
     return int(value)
 
 
@@ -139,25 +141,25 @@
 
 
 def read_open_session(body: bytes) -> OpenSession:
-    """A session that begins."""
+    """Read the start of a session."""
     message = decode_message(body, SessionMessage)
     return OpenSession(Session(message.holder, message.incarnation, message.lease_ms))
 
 
 def read_session_incarnation(body: bytes) -> str:
-    """The incarnation of a session that is renewed or ended."""
+    """Read the incarnation of a session that is to be renewed or ended."""
     return decode_message(body, IncarnationMessage).incarnation
 
 
 def read_take_claim(claim: str, body: bytes) -> TakeClaim:
-    """A holder that takes a claim."""
+    """Read the acquisition of a claim by a holder."""
     message = decode_message(body, TakeClaimMessage)
     purpose = _optional(message.purpose) or ""
     return TakeClaim(name("claim", claim), message.holder, message.incarnation, purpose)
 
 
 def read_release_claim(claim: str, body: bytes) -> ReleaseClaim:
-    """A holder that releases a claim."""
+    """Read the release of a claim by its holder."""
     message = decode_message(body, ReleaseClaimMessage)
     return ReleaseClaim(
         name("claim", claim),
@@ -170,30 +172,30 @@
 
 
 def read_suspend_claim(claim: str, body: bytes) -> SuspendClaim:
-    """An operator who suspends a claim, or lets it be taken again."""
+    """Read an operator's request to suspend or resume a claim."""
     message = decode_message(body, SuspendClaimMessage)
     return SuspendClaim(name("claim", claim), message.suspended)
 
 
 def read_put_record(record: str, body: bytes) -> PutRecord:
-    """A record that is written, or removed by an empty text."""
+    """Read the write of a record, which an empty text deletes."""
     message = decode_message(body, RecordMessage)
     return PutRecord(name("record", record), message.text, _optional(message.if_version), message.fence())
 
 
 def read_fence(body: bytes) -> Fence:
-    """The claim that a request must be made under."""
+    """Read the claim and epoch of a request that requires them."""
     message = decode_message(body, FenceMessage)
     return Fence(message.claim, message.epoch)
 
 
 def read_optional_fence(body: bytes) -> Fence | None:
-    """The claim that a backup is made under, if any; the body may be empty."""
+    """Read the claim and epoch of a backup, None if not given; the body may be empty."""
     return decode_message(body or NO_BODY, OptionalFenceMessage).fence()
 
 
 def read_is_forced(body: bytes) -> bool:
-    """Whether a promotion is forced; the body may be empty."""
+    """Read whether a promotion is forced; the body may be empty."""
     return decode_message(body or NO_BODY, PromotionMessage).force
 
 
@@ -201,19 +203,19 @@
 
 
 def read_fenced_call(body: bytes) -> tuple[Fence, int]:
-    """The claim that a call to a gateway is made under, and the call's number."""
+    """Read the claim and epoch of a gateway call, and the call's number."""
     message = decode_message(body, FencedCallMessage)
     return Fence(message.claim, message.epoch), message.call_number
 
 
 def read_register_gateway(body: bytes) -> RegisterGateway:
-    """A gateway that an agent registers."""
+    """Read the registration of a gateway by its agent."""
     message = decode_message(body, GatewayMessage)
     return RegisterGateway(Gateway(message.name, message.incarnation, message.zone))
 
 
 def read_policy_lease_renewal(body: bytes) -> PolicyLeaseRenewal:
-    """The renewal of a gateway's policy lease, with an agent's report of the gateway."""
+    """Read the renewal of a gateway's policy lease, with the agent's report on the gateway."""
     return decode_message(body, PolicyLeaseRenewalMessage)
 
 
@@ -225,7 +227,7 @@
 
 
 def name(field_name: str, value: str) -> str:
-    """A name in a request's path. Raises InvalidRequestError."""
+    """Check a name in a request's path and return it. Raises InvalidRequestError if it is malformed."""
     try:
         return convert_message({"name": value}, _NameMessage).name
     except InvalidRequestError as error:
@@ -233,5 +235,5 @@
 
 
 def _optional(value: Any) -> Any:  # noqa: ANN401
-    """None for a field that is not given."""
+    """Return the value of an optional field, None if it is not set."""
     return None if value is UNSET else value
--- a/orchidhatch/control/store_executor.py
+++ b/orchidhatch/control/store_executor.py
@@ -1,25 +1,25 @@
-"""Work with a store's file, which blocks: in a thread, one piece after another."""
+"""Runs blocking work on a store's file in a thread, one function at a time."""
 
 import asyncio
 from collections.abc import Callable, Sequence
 
 
 class StoreExecutor:
-    """Runs work with one store's file. Whoever holds `lock` is the only one that uses the file."""
+    """Runs work on one store's file. The holder of `lock` has exclusive use of the file."""
 
     def __init__(self) -> None:
         self.lock = asyncio.Lock()
         self._current_work: asyncio.Future[None] | None = None
 
     async def run(self, work: Callable[[], None]) -> None:
-        """Run work once the work before it is done; what it raises is raised here.
+        """Run work in a thread after earlier work has finished. Exceptions of the work propagate.
 
-        A thread cannot be cancelled: the work goes on where the caller is cancelled.
+        A thread cannot be cancelled, so the work continues if the caller is cancelled.
         """
         async with self.lock:
             self._current_work = asyncio.ensure_future(asyncio.to_thread(work))
             await asyncio.shield(self._current_work)
 
     def pending_work(self) -> Sequence[asyncio.Future[None]]:
-        """The work that may still be using the file, for whoever closes it."""
+        """Return the work that may still use the file; wait for it before closing the file."""
         return [self._current_work] if self._current_work else []
--- a/orchidhatch/control/supervision.py
+++ b/orchidhatch/control/supervision.py
@@ -1,7 +1,6 @@
-"""Loops that run as long as their process: an unexpected error of one step is logged and ends no loop.
+"""Loops that run until their process ends: an unexpected error in a step is logged and does not end the loop.
 
-A task that ends over an exception is not seen by anybody until it is garbage-collected, while what depends
-on it has stopped.
+Otherwise asyncio reports a failed task only when it is garbage-collected, while its function has stopped.
 """
 
 import asyncio
@@ -12,7 +11,7 @@
 
 
 async def repeat(name: str, interval_s: float, step: Callable[[], Awaitable[None] | None]) -> None:
-    """Take a step at intervals until cancelled, whatever a step raises."""
+    """Run `step` at intervals until cancelled; an exception in a step is logged."""
     while True:
         await asyncio.sleep(interval_s)
         try:
@@ -24,7 +23,7 @@
 
 
 def log_end(task: asyncio.Task[None]) -> None:
-    """A callback for tasks that are to run until cancelled: one that fails is logged at once."""
+    """Log the exception of a task that failed; a done callback of tasks that run until cancelled."""
     if task.cancelled():
         return
     if error := task.exception():
--- a/orchidhatch/control/watch_broadcaster.py
+++ b/orchidhatch/control/watch_broadcaster.py
@@ -1,7 +1,7 @@
-"""Watches of the endpoint list: the first line of each, the events that follow, and heartbeats.
+"""Watches of the endpoint list: their first line, the later events, and heartbeats.
 
-A line is encoded once for all watches that know the same generation, as thousands of them resume together
-after a restart.
+A line is encoded once for all watches at the same generation, because thousands of watches resume at the same
+time after a restart.
 """
 
 from typing import NamedTuple
@@ -11,21 +11,21 @@
 from orchidhatch.control.responses import encode_watch_event
 from orchidhatch.control.supervision import repeat
 
-HEARTBEAT_INTERVAL_S = 2.0  # between empty lines to each watch, by the protocol
+HEARTBEAT_INTERVAL_S = 2.0  # between empty lines on each watch, as the protocol requires
 HEARTBEAT_CHUNK = encode_chunk(b"\n")
-MAX_CACHED_LINES = 64  # each of them the whole list at most
-WHOLE_LIST = -1  # in place of a generation, where none is known
+MAX_CACHED_LINES = 64  # each as long as the whole list at most
+WHOLE_LIST = -1  # used instead of a generation if none is known
 
 
 class LineKey(NamedTuple):
-    """What distinguishes one line from another of the same generation of the list."""
+    """The key of a cached line within one version of the list."""
 
     after: int
     include_leases: bool
 
 
 class ListVersion(NamedTuple):
-    """The state of the list that lines were encoded from."""
+    """The version of the list from which the cached lines were encoded."""
 
     identity: str
     term: int
@@ -33,7 +33,7 @@
 
 
 class Watch:
-    """What one watch was sent: the list as of `generation`."""
+    """The state of one watch, which was sent the list as of `generation`."""
 
     def __init__(self, generation: int, include_leases: bool) -> None:
         self.generation = generation
@@ -41,8 +41,9 @@
 
 
 class WatchBroadcaster:
-    """All watches of one store's list. `is_suspended`: no watches are accepted; `aborted` counts those that
-    read too slowly.
+    """All watches of one store's list.
+
+    No watches are accepted while `is_suspended`. `aborted` counts the watches that were too slow to read.
     """
 
     def __init__(self, store: Store) -> None:
@@ -54,19 +55,19 @@
         self._cached_lines: dict[LineKey, bytes] = {}
 
     def add(self, connection: Connection, after: int, include_leases: bool) -> None:
-        """Begin a watch with what changed after a generation, or else with the whole list.
+        """Begin a watch with the changes after a generation, or with the whole list if they are not known.
 
-        Generation 0 says that the client knows none.
+        Generation 0 means that the client has no list.
         """
         self.watches[connection] = Watch(self._store.generation, include_leases)
         connection.begin_watch(self.line(after or WHOLE_LIST, include_leases))
 
     def remove(self, connection: Connection) -> None:
-        """Forget a watch that has ended, if it is one."""
+        """Remove a watch that has ended; other connections are ignored."""
         self.watches.pop(connection, None)
 
     def line(self, after: int, include_leases: bool = False) -> bytes:
-        """What changed after a generation, or the whole list where the history does not tell."""
+        """Return the line with the changes after a generation, or the whole list if history lacks them."""
         version = ListVersion(self._store.identity, self._store.term, self._store.generation)
         if self._cached_version != version:
             self._cached_version = version
@@ -84,9 +85,9 @@
         return self._cached_lines[key]
 
     def broadcast(self, whole_list: bool = False) -> None:
-        """Send all watches what they have not been sent yet, or the whole list.
+        """Send all watches the changes since their generations, or the whole list.
 
-        Most of thousands of watches know the same generation, so each chunk is made once.
+        Most of thousands of watches are at the same generation, so each chunk is encoded only once.
         """
         generation = self._store.generation
         chunks: dict[LineKey, bytes] = {}
@@ -100,7 +101,7 @@
             self.send(connection, chunk)
 
     def send(self, connection: Connection, chunk: bytes) -> None:
-        """Send one watch a chunk."""
+        """Send a chunk to one watch; a watch that reads too slowly is aborted."""
         if not connection.send_chunk(chunk):
             self.aborted += 1
 
@@ -114,12 +115,12 @@
         self.is_suspended = False
 
     def close_all(self) -> None:
-        """End all watches once what they were sent has been read."""
+        """Close all watches after the data that was sent to them has been written."""
         for connection in list(self.watches):
             connection.transport.close()
 
     async def send_heartbeats(self) -> None:
-        """Send empty lines until cancelled."""
+        """Send an empty line to all watches at intervals, until cancelled."""
         await repeat("heartbeats", HEARTBEAT_INTERVAL_S, self._send_heartbeat)
 
     def _send_heartbeat(self) -> None:
